--- a/magpiefront/__main__.py
+++ b/magpiefront/__main__.py
@@ -25,7 +25,7 @@
 
 from magpiefront.net import config
 from magpiefront.net.admin import MAX_CALLERS, Admin
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.admin_commands import AdminCommands
 from magpiefront.net.discovery import Discovery
 from magpiefront.net.shutdown_loop import run_shutdown
@@ -55,11 +55,20 @@
     return "".join(traceback.format_exception(error)) if error is not None else str(context.get("message"))
 
 
+def resident_bytes() -> int:
+    """The memory that this process takes now (resident set size); 0 if the system does not tell."""
+    try:
+        with open("/proc/self/statm", encoding="ascii") as f:
+            return int(f.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
+    except (OSError, ValueError, IndexError):
+        return 0
+
+
 async def serve(settings: config.Config, operator: OperatorConfig | None = None) -> None:
     """Runs one proxy until it has shut down after SIGTERM or SIGINT. With `operator`, requests pass through
     the stages that the operator's file configures. Raises BadConfig or OSError if the proxy cannot start."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    bodies = BodyMemory(int(settings.memory_mb * 0.3) << 20)
+    memory = ClientMemory(0)  # its limits are set before the first client is accepted
     composition = None
     if operator is None:
         proxy = Proxy(settings, loop)
@@ -76,8 +85,9 @@
         trace.install(proxy)
     loop.set_exception_handler(lambda _, context: proxy.log(callback_error(context)))
     front = Front(
-        proxy, first_stage, bodies, settings.sockets - RESERVED_DESCRIPTORS - proxy.max_node_connections
+        proxy, first_stage, memory, settings.sockets - RESERVED_DESCRIPTORS - proxy.max_node_connections
     )
+    proxy.slowest_connection = front.turns.take_slowest
     if composition is not None:
         composition.prepare_front(front)
     discovery = Discovery(proxy, settings.discovery, settings.seed)
@@ -139,6 +149,11 @@
         await asyncio.sleep(START_POLL_S)
     if state is not None:
         upgrade_state.restore(state, proxy)
+    if not memory.fit(settings.memory_mb << 20, resident_bytes(), front.max_clients):
+        proxy.log(
+            f"limits.memory_mb = {settings.memory_mb} is too little for this list of nodes: "
+            f"{resident_bytes() >> 20} MB are in use before the first client; clients may exceed the limit"
+        )
     listener = (
         handover_client.listener
         if handover_client is not None and handover_client.listener is not None
--- a/magpiefront/net/admin_commands.py
+++ b/magpiefront/net/admin_commands.py
@@ -36,6 +36,7 @@
             proxy.metrics.text(len(router.listed), router.out_of_service)
             + loop
             + connections
+            + self.front.metrics_text()
             + self.extra_metrics()
         )
 
--- a/magpiefront/net/answer_reader.py
+++ b/magpiefront/net/answer_reader.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from magpiefront.net.answer import Answer, InvalidAnswer, parse_load_report
-from magpiefront.net.http1 import MAX_BODY_BYTES, Connection
+from magpiefront.net.http1 import MAX_BODY_BYTES, Connection, HeadTooLong
 
 MAX_ERROR_BODY_BYTES = 1024 * 1024  # of an answer that is not passed on to the client
 MAX_INTERIM_ANSWERS = 8  # 1xx answers before the final one
@@ -31,13 +31,14 @@
 
     def expect_answer(self) -> None:
         """Resets the state: what is read from now on belongs to another answer."""
-        self.complete = self.framed = self.surplus = False
-        self.in_head, self.spare, self.interim, self.answer = True, 0, 0, self.answer_type()
+        self.complete = self.framed = self.surplus = self.in_message = False
+        self.in_head, self.interim, self.answer = True, 0, self.answer_type()
+        self.message_size.unfinished_bytes = 0
 
     @property
     def begun(self) -> bool:
         """Whether any of the answer has been read."""
-        return self.spare > 0 or not self.in_head or self.interim > 0
+        return self.has_partial_message or self.interim > 0
 
     def is_for_client(self, answer: Answer) -> bool:
         """Whether an answer is passed on to the client and does not count as a failure of the attempt."""
@@ -67,10 +68,16 @@
     def on_message_begin(self) -> None:
         if self.complete:
             self.surplus = True
+        else:
+            super().on_message_begin()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.complete:
             return
+        if not self.message_size.add_field(name, value):
+            raise HeadTooLong
+        if not self.in_head:
+            return  # a trailer field: dropped (RFC 9110, 6.5.1)
         name, answer = name.lower(), self.answer
         if name == b"content-length":
             answer.length, self.framed = int(value), True
@@ -87,7 +94,8 @@
 
     def on_headers_complete(self) -> None:
         if not self.complete:
-            self.in_head, self.spare = False, 0
+            self.in_head = False
+            self.message_size.unfinished_bytes = 0
             self.answer.status = self.parser.get_status_code()
             self.check_size(self.answer.length or 0)
 
@@ -106,7 +114,8 @@
             self.interim += 1
             if self.interim > MAX_INTERIM_ANSWERS:
                 raise InvalidAnswer
-            self.in_head, self.spare, self.framed, self.answer = True, 0, False, self.answer_type()
+            self.in_head, self.in_message, self.framed, self.answer = True, False, False, self.answer_type()
+            self.message_size.unfinished_bytes = 0
         else:
             self.complete = True
             # Without keep-alive, every request would cost a handshake and a descriptor.
--- a/magpiefront/net/discovery.py
+++ b/magpiefront/net/discovery.py
@@ -112,18 +112,21 @@
             self.answers += 1
             self.discovery.answered(self, self.parser.get_status_code(), bytes(self.body))
 
-    def on_message_begin(self) -> None:
-        self.in_head = True
+    def on_header(self, name: bytes, value: bytes) -> None:
+        if not self.message_size.add_field(name, value):
+            raise HeadTooLong
 
     def on_headers_complete(self) -> None:
-        self.in_head, self.spare = False, 0
+        self.in_head = False
+        self.message_size.unfinished_bytes = 0
 
     def on_body(self, body: bytes) -> None:
-        self.spare = 0
+        self.message_size.unfinished_bytes = 0
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.in_head, self.spare, self.complete = True, 0, True
+        self.in_head, self.in_message, self.complete = True, False, True
+        self.message_size.unfinished_bytes = 0
         self.keep_alive = self.parser.should_keep_alive()
 
 
--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -11,21 +11,27 @@
 import httptools
 
 from magpiefront.interface import RequestClass
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.events import EventLog, Reason
 from magpiefront.net.http1 import MAX_BODY_BYTES, Connection, HeadTooLong, chunk, head
+from magpiefront.net.message_size import BODY_SLICE_BYTES, SLICE_BYTES
 from magpiefront.net.metrics import Metrics
-from magpiefront.net.request import METHODS, SINGLE_VALUED, Request, Stage
+from magpiefront.net.pipeline import MAX_PIPELINED_REQUESTS, hold_time_us
+from magpiefront.net.request import KEPT_FIELDS, METHODS, SINGLE_VALUED, Request, Stage
 from magpiefront.net.socket_state import SocketState, since_last_data_s
+from magpiefront.net.turns import ReadTurns
 
 # A connection that can't be served is answered or closed within 3 s of connecting: at the first sweep after
 # one of these timeouts, with half a second between two sweeps.
 HEAD_TIMEOUT_S = 2.0  # for a complete head, and for the next bytes of a body
 IDLE_TIMEOUT_S = 2.0  # for a connection on which no request is open
 MIN_EVICTION_IDLE_S = 0.2  # without progress; only then may a connection be closed to make room for another
+MIN_EVICTION_STALL_S = 0.5  # the same for a client that has sent part of a body
 STALL_TIMEOUT_S = 20.0  # for a complete body, and for a client that does not read its answer
 LINGER_TIMEOUT_S = 1.5  # how long a closed connection is read from, so that no RST destroys its last answer
-MAX_PIPELINED_REQUESTS = 32  # waiting on one connection; further requests get a 503 in their turn
+MAX_LATENESS_US = 500_000  # after its deadline, an answer is of no use to its client
+MAX_SLICES_PER_TURN = 4  # fed to the parser in one turn of the event loop, for one connection
+MAX_ANSWERS_PER_TURN = 16  # given without a stage (`/ready`, errors) in one turn, on one connection
 
 
 class FrontRuntime(Protocol):
@@ -50,7 +56,9 @@
 
     runtime: FrontRuntime
     stage: Stage
-    bodies: BodyMemory
+    memory: ClientMemory
+    turns: ReadTurns
+    read_buffer: memoryview
     loop: asyncio.AbstractEventLoop
     stopping: bool
 
@@ -61,42 +69,65 @@
     def client_lost(self, client: ClientConnection) -> None:
         """The connection is closed."""
 
+    def relieve_answers(self) -> None:
+        """Closes connections whose clients do not read, if unread answers take too much memory."""
+
 
 class ClientConnection(Connection):
     """A client's HTTP/1.1 connection, and the `Responder` of its requests.
 
     One request is served at a time (`request`); further ones wait in `queued`. `incoming` is the request
-    that is being parsed. `lingering`: the connection's sending side is closed, and what arrives is dropped.
-    `closing`: no further request is accepted.
+    that is being parsed. `unparsed`: bytes that were read and wait for a turn, or for room in the queue;
+    nothing more is read meanwhile. `lingering`: the connection's sending side is closed, and what arrives is
+    dropped. `closing`: no further request is accepted. `held` and `unsent`: the bytes in the account of
+    memory for the message that is being read, and for answers that the client has not taken.
     """
 
     methods = METHODS
     allow = b"Allow: GET, PUT\r\n"
-    __slots__ = ("accept_delay_us", "chunked", "closing", "excess_requests", "front", "in_message",
-                 "incoming", "last_progress_at", "lingering", "message_began_at", "queued", "reading",
-                 "request", "served", "size", "socket_state", "writable")  # fmt: skip
+    __slots__ = ("answer_due_us", "body_left", "chunked", "closing", "continuing", "excess_requests", "front",
+                 "held", "hold_timer", "incoming", "last_progress_at", "lingering", "max_unread_us",
+                 "message_began_at", "number", "paused_at_us", "queued", "read_at_us", "reading",
+                 "refusing_excess", "request", "served", "size", "socket_state", "unparsed", "unsent",
+                 "writable")  # fmt: skip
 
-    def __init__(self, front: ConnectionOwner) -> None:
+    def __init__(self, front: ConnectionOwner, number: int = 0) -> None:
         super().__init__()
-        self.front = front
+        self.front, self.number = front, number
         self.parser = httptools.HttpRequestParser(self)
         self.incoming = Request(self)
         self.request: Request | None = None  # the request that is being served
         self.queued: deque[Request] = deque()
         self.excess_requests = 0  # requests beyond MAX_PIPELINED_REQUESTS, which get a 503 each
-        self.closing = self.lingering = self.chunked = False
+        self.closing = self.lingering = self.chunked = self.continuing = False
+        self.refusing_excess = (
+            False  # requests that are parsed now get a 503: they were held back long enough
+        )
         self.reading = self.writable = True
-        self.served = self.in_message = False  # whether a request was served; whether a message is being read
+        self.served = False  # whether a request was served
         # Loop times, for the timeouts: when the current message began, and when the last progress was made.
         self.message_began_at = self.last_progress_at = front.loop.time()
-        self.accept_delay_us = 0  # the longest time that it may have waited to be accepted
+        # The longest time (microseconds) for which the next bytes may have waited unread, because the
+        # connection waited to be accepted or its reading was paused; and when it was paused.
+        self.max_unread_us = self.paused_at_us = 0
+        self.read_at_us = 0  # when the bytes that are parsed now arrived
+        self.answer_due_us = 0  # the deadline of the request that was answered last
         self.size: int = 0  # of the body that is being read, in bytes
+        self.body_left: int = 0  # bytes that are still to come of a body with a known length
+        self.held = self.unsent = 0
+        self.unparsed: bytes = b""
+        self.hold_timer: asyncio.TimerHandle | None = None
         self.socket_state: SocketState | None = None  # created at its first use
 
     @property
     def between_messages(self) -> bool:
         """Whether no message has been read in part."""
-        return not self.in_message and self.in_head and not self.spare
+        return not self.has_partial_message and not self.unparsed
+
+    @property
+    def holds_memory(self) -> bool:
+        """Whether it holds part of a message, or requests that wait for their turn."""
+        return self.held > 0 or bool(self.queued)
 
     @property
     def idle(self) -> bool:
@@ -132,6 +163,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.front.client_lost(self)
         self._client_left()
+        self._set_unsent(0)
         super().connection_lost(exc)
         del self.incoming  # its reference back would keep this object until the garbage collector runs
 
@@ -145,24 +177,70 @@
         request, self.request = self.request, None
         if request is not None:
             request.counts.errors += 1
-            self._release_body(request)
+            self._release(request)
             self.front.stage.client_left(request)
 
     def _drop_queued(self) -> None:
         """Drops what is being read and the queued requests; none of them gets an answer."""
-        self.front.bodies.release(self, self.size + sum(queued.size for queued in self.queued))
-        self.size = 0
+        self._drop_unparsed()
+        freed = self.held + sum(queued.held for queued in self.queued)
+        self.size = self.held = self.excess_requests = 0
         for queued in self.queued:
             queued.counts.errors += 1
         self.queued.clear()
-        self.excess_requests = 0
+        self.front.memory.release(self, freed)
+
+    def _drop_unparsed(self) -> None:
+        self.unparsed = b""
+        if self.hold_timer is not None:
+            self.hold_timer.cancel()
+            self.hold_timer = None
+
+    def get_buffer(self, size_hint: int) -> memoryview:
+        """The buffer that the event loop reads into (`asyncio.BufferedProtocol`): one for all connections,
+        which bounds what one read returns."""
+        return self.front.read_buffer
+
+    def buffer_updated(self, size: int) -> None:
+        """`size` bytes have been read into the buffer."""
+        self.data_received(self.front.read_buffer[:size])
 
-    def data_received(self, data: bytes) -> None:
+    def data_received(self, data: bytes | memoryview) -> None:
+        """Takes bytes that have been read. A single slice is parsed at once; more wait in `unparsed`."""
         if self.lingering:
             return
         self.last_progress_at = self.front.loop.time()
+        if self.closing:
+            return
+        self.read_at_us = self.front.runtime.now_us()
+        if self.max_unread_us:
+            self.read_at_us -= min(self.max_unread_us, int(since_last_data_s(self.transport) * 1e6))
+            self.max_unread_us = 0
+        if self.unparsed or len(data) > SLICE_BYTES or len(self.queued) >= MAX_PIPELINED_REQUESTS:
+            self.unparsed += bytes(data)
+            if self.parse_turn():
+                self.front.turns.add(self)
+            return
+        self.refusing_excess = False
+        self._parse(data)
+        self._after_parsing()
+
+    def parse_turn(self) -> bool:
+        """Parses a bounded part of `unparsed`. Returns whether to call it again in a later turn."""
+        for _ in range(MAX_SLICES_PER_TURN):
+            if not self.unparsed or self.lingering or self._holds_back():
+                break
+            self.refusing_excess = len(self.queued) >= MAX_PIPELINED_REQUESTS
+            size = max(SLICE_BYTES, min(self.body_left, BODY_SLICE_BYTES))
+            data, self.unparsed = self.unparsed[:size], self.unparsed[size:]
+            self._parse(data)
+        more = bool(self.unparsed) and not self._holds_back()
+        self._after_parsing()
+        return more
+
+    def _parse(self, data: bytes | memoryview) -> None:
         try:
-            self.feed(data)
+            self.feed_slice(data)
         except HeadTooLong:
             self._reject(431)
         except httptools.HttpParserInvalidMethodError:
@@ -171,18 +249,53 @@
             self._reject(400)
         except httptools.HttpParserUpgrade:
             self._close_after(self.queued[-1] if self.queued else None)
-        if self.request is None and self._answers_due:
+        if self.closing:
+            self._drop_unparsed()
+        elif self.in_message:
+            self._charge()
+
+    def _after_parsing(self) -> None:
+        if self.request is None and self._answers_due and not self.continuing:
             self._serve_next()
         self._update_reading()
 
+    def _holds_back(self) -> bool:
+        """Whether unparsed requests wait because the queue is full. They do as long as those in the queue
+        have time: requests that are parsed beyond the queue's limit are refused."""
+        if len(self.queued) < MAX_PIPELINED_REQUESTS:
+            return False
+        if self.request is None or not self.writable:
+            return True  # the queue is about to be served, or the client does not read
+        hold_us = hold_time_us(self.queued, self.front.runtime.now_us())
+        if hold_us <= 0:
+            return False
+        if self.hold_timer is None:
+            self.hold_timer = self.front.loop.call_later(hold_us / 1e6, self._end_hold)
+        return True
+
+    def _end_hold(self) -> None:
+        self.hold_timer = None
+        self._parse_on()
+
+    def _parse_on(self) -> None:
+        """Goes on parsing if that was held back."""
+        if self.unparsed and not self.lingering:
+            self.front.turns.add(self)
+
+    def _charge(self) -> None:
+        """Counts the memory of the message that is being read."""
+        cost = self.message_size.cost() + self.size
+        grown, self.held = cost - self.held, cost
+        self.front.memory.grow(self, grown)
+
     def _reject(self, status: int) -> None:
         """Ends a connection whose current message can't be read to its end: queues an answer with this status
         behind those that are due, and accepts no further request."""
         if self.closing:
             return
         request, self.incoming = self.incoming, Request(self)
-        self.front.bodies.release(self, self.size)
-        self.size = 0
+        freed, self.held, self.size = self.held, 0, 0
+        self.front.memory.release(self, freed)
         request.body.clear()
         request.error = request.error or status
         self._close_after(request)
@@ -195,69 +308,103 @@
 
     def _update_reading(self) -> None:
         """Pauses or resumes reading. Reading goes on while a request is served, so that a disconnect of the
-        client is noticed and the time of its next requests counts from their arrival. It pauses if the queue
-        is full or request bodies take too much memory."""
-        bodies = self.front.bodies
-        if self.reading and not self.queued and not self.excess_requests and bodies.used <= bodies.limit:
+        client is noticed and the time of its next requests counts from their arrival. It pauses while bytes
+        are unparsed, the queue is full, or requests take too much memory."""
+        memory = self.front.memory
+        if self.reading and not self.unparsed and not self.queued and memory.used <= memory.limit:
             return  # the common case, without further checks
         full = self.excess_requests > 0 or len(self.queued) >= MAX_PIPELINED_REQUESTS
-        may_read = not (full and self.request is not None) and not bodies.must_pause(self)
+        may_read = (
+            not self.unparsed and not (full and self.request is not None) and not memory.must_pause(self)
+        )
         if may_read != self.reading and not self.transport.is_closing():
             self.reading = may_read
             if may_read:
+                self.max_unread_us = self.front.runtime.now_us() - self.paused_at_us
                 self.transport.resume_reading()
             else:
+                self.paused_at_us = self.front.runtime.now_us()
                 self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Called when request bodies take less memory again (see `BodyReader`)."""
+        """Called when requests take less memory again (see `ClientMemory`)."""
         if not self.lingering:
             self.last_progress_at = self.front.loop.time()
             self._update_reading()
 
+    def abort_unread(self) -> None:
+        """Closes a connection whose client does not read its answers, and frees their memory."""
+        self._set_unsent(0)
+        self.transport.abort()
+
+    def _set_unsent(self, size: int) -> None:
+        """Counts the memory of answers that the client has not taken."""
+        self.front.memory.unsent += size - self.unsent
+        self.unsent = size
+
     def pause_writing(self) -> None:
         self.writable = False
         self.last_progress_at = self.front.loop.time()
+        self._set_unsent(self.transport.get_write_buffer_size())
         if self.request is not None:
             self.front.stage.pause_response(self.request)
+        if self.front.memory.answers_exceeded:
+            self.front.loop.call_soon(self.front.relieve_answers)
 
     def resume_writing(self) -> None:
         self.writable = True
         self.last_progress_at = self.front.loop.time()
+        self._set_unsent(0)
         if self.request is not None:
             self.front.stage.resume_response(self.request)
-        elif self._answers_due:
-            self._serve_next()
-            self._update_reading()
+        else:
+            self._continue()
 
     # ---- the parser
 
     def on_message_begin(self) -> None:
-        self.in_head = self.in_message = True
+        super().on_message_begin()
         self.message_began_at = self.last_progress_at
 
     def on_url(self, url: bytes) -> None:
+        if self.closing:
+            return
         self.incoming.target += url
+        if not self.message_size.add_target(len(url)):
+            self._reject(431)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.in_head:
-            name, headers = name.lower(), self.incoming.headers
+        if self.closing:
+            return
+        if not self.message_size.add_field(name, value):
+            self._reject(431)
+        elif self.in_head:  # not a trailer field, which is dropped (RFC 9110, 6.5.1)
+            self._keep_field(name, value)
+
+    def _keep_field(self, name: bytes, value: bytes) -> None:
+        """Stores a field line of the head."""
+        name, headers = name.lower(), self.incoming.headers
+        if name in KEPT_FIELDS:
             if name in headers and name in SINGLE_VALUED:
                 self.incoming.error = 400
             headers[name] = value
 
     def on_headers_complete(self) -> None:
-        self.in_head, self.spare = False, 0
+        self.in_head = False
+        self.message_size.unfinished_bytes = 0
+        if self.closing:
+            return
         request = self.incoming
         request.method = self.parser.get_method()
         version = self.parser.get_http_version()
         request.keep_alive = version == "1.1" and self.parser.should_keep_alive()
         request.error = request.error or request.check(self.front.runtime.classes, version, self.methods)
         headers = request.headers
+        self.body_left = int(headers[b"content-length"]) if b"content-length" in headers else 0
         if request.has_ambiguous_framing(version):
             request.error = 400
             self._reject(400)
-        elif b"content-length" in headers and int(headers[b"content-length"]) > MAX_BODY_BYTES:
+        elif self.body_left > MAX_BODY_BYTES:
             self._reject(413)
         elif b"expect" in headers and headers[b"expect"].strip().lower() == b"100-continue":
             if request.error:
@@ -266,28 +413,30 @@
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        self.spare = 0
+        self.message_size.unfinished_bytes = 0
+        self.body_left = max(0, self.body_left - len(body))
         if self.closing or self.incoming.error:
             return
         self.size += len(body)
-        self.front.bodies.grow(self, len(body))
         self.incoming.body.append(body)
         if self.size > MAX_BODY_BYTES:
             self._reject(413)
 
     def on_message_complete(self) -> None:
-        self.in_head, self.in_message, self.spare = True, False, 0
-        request, self.incoming = self.incoming, Request(self)
+        self.in_head, self.in_message = True, False
+        self.message_size.unfinished_bytes = 0
         if self.closing:
             return
+        request, self.incoming = self.incoming, Request(self)
         request.size, self.size = self.size, 0
         request.client_gone = self.client_gone
-        request.received_at = self.front.runtime.now_us() - self._queue_delay_us()
+        request.received_at = self.read_at_us
         if request.cls is not None and not request.error:
             request.counts = self.front.runtime.metrics.counts_for(request.headers[b"req-kind"])
             request.counts.received += 1
-        if len(self.queued) >= MAX_PIPELINED_REQUESTS or self.excess_requests:
-            self.front.bodies.release(self, request.size)
+        if self.refusing_excess or self.excess_requests:
+            freed, self.held = self.held, 0
+            self.front.memory.release(self, freed)
             request.body.clear()
             request.counts.shed += 1
             self.excess_requests += 1
@@ -295,13 +444,9 @@
         if not request.keep_alive:
             self.closing = True
         self.queued.append(request)
-
-    def _queue_delay_us(self) -> int:
-        """How long (microseconds) the first request of a connection could not be read because the connection
-        waited to be accepted; 0 for later requests. A request's time counts from the arrival of its last
-        byte."""
-        max_delay_us, self.accept_delay_us = self.accept_delay_us, 0
-        return min(max_delay_us, int(since_last_data_s(self.transport) * 1e6)) if max_delay_us else 0
+        request.held = self.message_size.cost() + request.size
+        grown, self.held = request.held - self.held, 0
+        self.front.memory.grow(self, grown)
 
     # ---- answers
 
@@ -310,7 +455,9 @@
         return bool(self.queued or self.excess_requests)
 
     def _serve_next(self) -> None:
-        while self._answers_due and self.request is None and self.writable:
+        for _ in range(MAX_ANSWERS_PER_TURN):
+            if not self._answers_due or self.request is not None or not self.writable:
+                break
             if self.queued:
                 request = self.queued.popleft()
             else:
@@ -319,7 +466,9 @@
                 request.error = 503
             self.request = request
             if request.error:
-                self.front.runtime.log(f"{request.error} for {request.method!r} {request.target[:80]!r}")
+                self.front.runtime.log(
+                    f"{request.error} for {request.method!r} {request.target[:80]!r} connection={self.number}"
+                )
                 self.answer(request, request.error)
                 continue
             self._cap_time_by_queued(request)
@@ -327,6 +476,7 @@
                 self.answer(request, 503 if self.front.stopping else 200)
             else:
                 self.front.stage.submit(request)
+        self._parse_on()
 
     def _cap_time_by_queued(self, request: Request) -> None:
         """Shortens the request's time to that of the requests queued behind it: answers go out in the order
@@ -338,8 +488,7 @@
 
     def answer(self, request: Request, status: int, body: Sequence[bytes] = (), more: bytes = b"") -> None:
         """Writes a whole answer."""
-        if request.size:
-            self._release_body(request)
+        self._release(request)
         close = self._closes_after(request)
         if status == 405 and not more:
             more = self.allow
@@ -350,8 +499,7 @@
 
     def begin(self, request: Request, length: int | None, more: bytes, status: int = 200) -> None:
         """Writes the head of a long answer; without a length its body is chunked."""
-        if request.size:
-            self._release_body(request)
+        self._release(request)
         self.chunked = length is None
         request.keep_alive = not self._closes_after(request)
         if not request.keep_alive:
@@ -372,12 +520,13 @@
         self.request = None
         self.transport.abort()
 
-    def _release_body(self, request: Request) -> None:
-        """Frees the request's body: no further attempt will need it."""
-        size, request.size = request.size, 0
-        if size:
-            request.body = []
-            self.front.bodies.release(self, size)
+    def _release(self, request: Request) -> None:
+        """Frees the request's memory: no further attempt will need its body."""
+        self.answer_due_us = request.received_at + request.time_left
+        held, request.held = request.held, 0
+        if request.size:
+            request.size, request.body = 0, []
+        self.front.memory.release(self, held)
 
     def _closes_after(self, request: Request) -> bool:
         return not request.keep_alive or (self.front.ending and not self._more_pending())
@@ -396,11 +545,15 @@
         elif self._answers_due:
             # In a later turn of the loop: a long queue of requests that are answered at once would otherwise
             # lead to a deep recursion.
-            self.front.loop.call_soon(self._continue)
+            if not self.continuing:
+                self.continuing = True
+                self.front.loop.call_soon(self._continue)
         else:
+            self._parse_on()
             self._update_reading()
 
     def _continue(self) -> None:
+        self.continuing = False
         if self.request is None and self._answers_due and not self.lingering:
             self._serve_next()
             self._update_reading()
@@ -434,7 +587,9 @@
             if idle_s > STALL_TIMEOUT_S:
                 self.front.runtime.events_log.emit("closed", Reason.STALLED, unsent=True)
                 self.transport.abort()
-        elif not self.reading or (self.between_messages and not self.idle):
+        elif not self.reading and self._socket_state().closed():
+            self._client_left()
+        elif (self.between_messages and not self.idle) or not (self.reading or self._client_is_quiet()):
             return
         elif self.idle:
             # This includes connections that have served requests. Otherwise, clients that send one request
@@ -450,6 +605,10 @@
             self._reject(408)
             self._serve_next()
 
+    def _client_is_quiet(self) -> bool:
+        """Whether a client whose reading is paused would send nothing if it were read."""
+        return not self.unparsed and not self._socket_state().readable()
+
     def eviction_rank(self, now: float) -> tuple[int, float] | None:
         """The order in which connections are closed to make room for others, lowest first; None if this one
         must not be closed."""
@@ -461,13 +620,20 @@
                 (0, self.last_progress_at)
                 if self.writable and now - self.last_progress_at > MIN_EVICTION_IDLE_S else None
             )  # fmt: skip
+        if not self.writable:
+            # Its client would get the rest of the answer too late to use it.
+            overdue_us = self.front.runtime.now_us() - self.answer_due_us
+            kind = 1 if self.request is None else 3  # a streamed answer only if nothing else can be closed
+            return (kind, self.last_progress_at) if overdue_us > MAX_LATENESS_US else None
         if self.idle:
             return (
                 (int(self.served) * 2, self.last_progress_at)
                 if now - self.last_progress_at > MIN_EVICTION_IDLE_S else None
             )  # fmt: skip
-        overdue = (
-            self.in_head and self.request is None and not self._answers_due
-            and now - self.message_began_at > HEAD_TIMEOUT_S - 0.8
-        )  # fmt: skip
-        return (1, self.message_began_at) if overdue else None
+        if self.request is not None or self._answers_due or self.unparsed:
+            return None
+        if self.in_head:
+            overdue = now - self.message_began_at > HEAD_TIMEOUT_S - 0.8
+            return (1, self.message_began_at) if overdue else None
+        stalled = now - self.last_progress_at > MIN_EVICTION_STALL_S
+        return (1, self.last_progress_at) if stalled and self._client_is_quiet() else None
--- a/magpiefront/net/events.py
+++ b/magpiefront/net/events.py
@@ -35,6 +35,7 @@
     FAILED = "failed"  # an attempt ended without a response
     ROOM = "room"  # a connection was closed so that another could be opened
     CUT = "cut"  # a response could not be completed
+    MEMORY = "memory"  # clients hold as much memory as they may
     STALLED = "stalled"  # no progress for too long
 
 
--- a/magpiefront/net/front.py
+++ b/magpiefront/net/front.py
@@ -7,17 +7,20 @@
 import socket
 from collections.abc import Callable
 
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.downstream import ClientConnection, FrontRuntime
 from magpiefront.net.events import Reason
 from magpiefront.net.listening import ResourceShortage, accept_connection, open_listener, refuse_new
+from magpiefront.net.metrics import metric_lines
 from magpiefront.net.request import Stage
 from magpiefront.net.shutdown import MIN_IDLE_S
+from magpiefront.net.turns import ReadTurns
 
 ACCEPT_RETRY_S = 0.05  # after a shortage of room or descriptors, until accepting is tried again
 # Maximum number of connections that one call of `_make_room` closes. A twentieth of `max_clients` (plus one)
 # is a second limit, so that a small front does not lose a large share of its connections at once.
 MAX_EVICTIONS = 32
+READ_BUFFER_BYTES = 16 * 1024  # the most that one read of a client's connection returns
 MAX_ACCEPTS = 64  # connections accepted in one turn of the event loop
 
 
@@ -29,9 +32,12 @@
 
     client_type: type[ClientConnection] = ClientConnection
 
-    def __init__(self, runtime: FrontRuntime, stage: Stage, bodies: BodyMemory, max_clients: int) -> None:
-        self.runtime, self.stage, self.bodies, self.max_clients = runtime, stage, bodies, max_clients
+    def __init__(self, runtime: FrontRuntime, stage: Stage, memory: ClientMemory, max_clients: int) -> None:
+        self.runtime, self.stage, self.memory, self.max_clients = runtime, stage, memory, max_clients
         self.loop = runtime.loop
+        self.turns = ReadTurns(self.loop)
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
+        self.accepted = 0  # connections so far
         self.clients: dict[ClientConnection, None] = {}
         self.handed_over = False  # whether another process accepts connections in place of this one
         self.opening: set[asyncio.Task[object]] = set()  # the running tasks of `_open`
@@ -93,7 +99,8 @@
     def adopt(self, sock: socket.socket) -> ClientConnection:
         """Serves a connection that was accepted, here or by another process."""
         sock.setblocking(False)
-        client = self.client_type(self)
+        self.accepted += 1
+        client = self.client_type(self, self.accepted)
         self.clients[client] = None
         task = self.loop.create_task(self._open(client, sock))
         self.opening.add(task)
@@ -132,7 +139,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             client = self.adopt(sock)
             if self.queue_since_us is not None:
-                client.accept_delay_us = self.runtime.now_us() - self.queue_since_us
+                client.max_unread_us = self.runtime.now_us() - self.queue_since_us
         return True
 
     def _pause_accepting(self) -> None:
@@ -162,18 +169,49 @@
         found.sort(key=lambda ranked: ranked[0])
         if not found:
             self.eviction_retry_at = now + ACCEPT_RETRY_S
-        self.runtime.events_log.emit("closed", Reason.ROOM, connections=len(self.clients))
-        for _, c in found[: min(MAX_EVICTIONS, 1 + self.max_clients // 20)]:
+        chosen = found[: min(MAX_EVICTIONS, 1 + self.max_clients // 20)]
+        self.runtime.events_log.emit(
+            "closed", Reason.ROOM, connections=len(self.clients), evicted=len(chosen), candidates=len(found),
+        )  # fmt: skip
+        for _, c in chosen:
             self.clients.pop(c)
             c.transport.close()  # at once, to free its descriptor; no answer is waiting to be sent on it
         return bool(found)
 
+    def relieve_answers(self) -> None:
+        """Closes the connections whose clients have read nothing for longest, until unread answers fit into
+        their memory again."""
+        if not self.memory.answers_exceeded:
+            return
+        now = self.loop.time()
+        slow = [c for c in self.clients if c.unsent and not c.transport.is_closing()]
+        slow.sort(key=lambda c: c.last_progress_at)
+        for client in slow:
+            if not self.memory.answers_exceeded:
+                return
+            self.runtime.events_log.emit(
+                "closed", Reason.MEMORY, connection=client.number, unsent=client.unsent,
+                quiet_ms=int((now - client.last_progress_at) * 1000),
+            )  # fmt: skip
+            client.abort_unread()
+
     def client_lost(self, client: ClientConnection) -> None:
         """Forgets a connection that has closed, and accepts again if there is room for another."""
         self.clients.pop(client, None)
         if self.socket is not None and len(self.clients) < self.max_clients:
             self._accept_more()
 
+    def metrics_text(self) -> str:
+        """The metrics of the clients' connections and of the memory that they hold, in bytes."""
+        memory = self.memory
+        return metric_lines("clients", {
+            "open": len(self.clients), "max_open": self.max_clients, "accepted": self.accepted,
+            "request_bytes": memory.used, "max_request_bytes": memory.limit,
+            "unsent_bytes": memory.unsent, "max_unsent_bytes": memory.answer_limit,
+            "unparsed_bytes": sum(len(c.unparsed) for c in self.clients),
+            "paused_for_memory": len(memory.paused),
+        })  # fmt: skip
+
     def sweep(self) -> None:
         """Checks the timeouts of all connections, and accepts again if that was paused."""
         now = self.loop.time()
--- a/magpiefront/net/http1.py
+++ b/magpiefront/net/http1.py
@@ -7,11 +7,10 @@
 
 import httptools
 
-MAX_HEAD_BYTES = 32 * 1024  # of a request or an answer
+from magpiefront.net.message_size import BODY_SLICE_BYTES, SLICE_BYTES, MessageSize
+
 MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request or an answer
 MAX_BUFFERED_BYTES = 64 * 1024  # longer answers are passed on while they are received
-READ_BYTES = 256 * 1024  # the most that one read of the event loop returns
-
 
 REASONS = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
@@ -24,24 +23,22 @@
 
 
 class HeadTooLong(Exception):
-    """A head, or the text between two chunks of a body, is longer than the limit."""
+    """A message's head or trailer, or the text between two chunks of its body, is longer than the limit."""
 
 
-class Connection(asyncio.Protocol):
+class Connection(asyncio.BaseProtocol):
     """A transport and the parser that its bytes are fed to.
 
-    `in_head`: a head is being read. `spare`: the number of bytes fed since the parser last completed a head
-    or returned a part of a body; it bounds what the parser reads without a result. `NodeConnection` uses the
-    same attribute as a flag until its first exchange starts.
+    `in_head`: a head is being read, or is expected next. `in_message`: a message has been read in part.
     """
 
-    __slots__ = ("in_head", "parser", "spare", "transport")
+    __slots__ = ("in_head", "in_message", "message_size", "parser", "transport")
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)  # until connection_made
         self.parser: Any = None
-        self.in_head = True
-        self.spare = 0
+        self.in_head, self.in_message = True, False
+        self.message_size = MessageSize()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop once the connection is established."""
@@ -52,20 +49,31 @@
         collector runs: the connection holds its transport and the bytes that were read last."""
         self.parser = None
 
-    def feed(self, data: bytes) -> None:
+    @property
+    def has_partial_message(self) -> bool:
+        """Whether anything has been read that no complete message accounts for."""
+        return self.in_message or not self.in_head or self.message_size.unfinished_bytes > 0
+
+    def feed(self, data: bytes | memoryview) -> None:
         """Feeds bytes to the parser. Raises HeadTooLong, or one of PARSER_ERRORS."""
-        if self.in_head and self.spare + len(data) > MAX_HEAD_BYTES:
-            room = MAX_HEAD_BYTES - self.spare
-            first, data = data[:room], data[room:]
-            self.spare += len(first)
-            self.parser.feed_data(first)
-            if self.in_head:
-                raise HeadTooLong
-        self.spare += len(data)
+        while data:  # never feed an empty slice, which the parser takes for the end of the stream
+            size = SLICE_BYTES if self.in_head else BODY_SLICE_BYTES
+            self.feed_slice(data[:size])
+            data = data[size:]
+
+    def feed_slice(self, data: bytes | memoryview) -> None:
+        """Feeds one slice to the parser: at most SLICE_BYTES in a head, and BODY_SLICE_BYTES in a body.
+        Raises HeadTooLong, or one of PARSER_ERRORS."""
+        self.message_size.unfinished_bytes += len(data)
         self.parser.feed_data(data)
-        if self.spare > MAX_HEAD_BYTES + READ_BYTES and not self.in_head:
+        if self.message_size.unfinished_too_long(self.in_head):
             raise HeadTooLong
 
+    def on_message_begin(self) -> None:
+        """The first byte of a message has been read."""
+        self.in_head = self.in_message = True
+        self.message_size.begin()
+
 
 def head(status: int, length: int | None, more: bytes = b"", close: bool = False) -> bytes:
     """Returns the head of an answer. `length` is that of the body in bytes; with None the body is chunked.
--- a/magpiefront/net/node_connection.py
+++ b/magpiefront/net/node_connection.py
@@ -56,19 +56,19 @@
     `number` is the connection's number among those that the pool has opened, from 1. `written`: the whole
     message has been handed to the kernel. `paused`: reading is paused, since the client reads slowly.
     `streams`: the answer is streamed to the client. `pause_watched`: a timer watches for pauses in the
-    answer. `spare`, a number of bytes in the base class, is a flag until the first exchange starts:
-    `detach_exchange` sets it while the connection is being made, so that it is kept for another exchange.
+    answer. `detached`: `detach_exchange` was called while the connection was being made, so that it is kept
+    for another exchange.
     """
 
-    __slots__ = ("exchange", "last_data_at", "last_target", "lifecycle", "node", "number", "pause_watched",
-                 "paused", "socket_state", "spare", "streams", "written")  # fmt: skip
+    __slots__ = ("detached", "exchange", "last_data_at", "last_target", "lifecycle", "node", "number",
+                 "pause_watched", "paused", "socket_state", "streams", "written")  # fmt: skip
 
     def __init__(self, node: ConnectionOwner, exchange: Exchange, number: int = 0) -> None:
         super().__init__()
         self.node, self.number = node, number
         self.exchange: Exchange | None = exchange
         self.lifecycle = ConnectionLifecycle()
-        self.written = self.paused = self.pause_watched = self.streams = self.spare = False
+        self.written = self.paused = self.pause_watched = self.streams = self.detached = False
         self.last_data_at = 0.0  # loop time at which more of the answer was last read
         self.last_target = b""  # target of the request that was answered last
         self.socket_state: SocketState | None = None
@@ -116,7 +116,7 @@
     def detach_exchange(self) -> None:
         """Called when the exchange starts on another connection while this one is being made. Connecting
         continues, and then this connection waits in the pool for another exchange."""
-        self.exchange, self.spare = None, True
+        self.exchange, self.detached = None, True
 
     def give_up(self, exchange: Exchange) -> None:
         """Closes the connection if it still carries this exchange."""
@@ -161,7 +161,7 @@
         if exchange is not None and not exchange.done:
             exchange.task = exchange.opening = None
             self.start(exchange)
-        elif self.spare:  # set by detach_exchange
+        elif self.detached:
             self.lifecycle.release_unused(self.node.clock())
             self.node.put_back(self)
         else:
@@ -223,7 +223,7 @@
             self._completed()
         elif self.is_unusable():
             self._end_incomplete()
-        elif (answer.status or self.spare) and self.exchange is not None:
+        elif (answer.status or self.has_partial_message) and self.exchange is not None:
             self.last_data_at = self.node.loop.time()
             if not self.pause_watched:
                 self.pause_watched = True
@@ -290,7 +290,7 @@
 
     def on_body(self, body: bytes) -> None:
         exchange, answer = self.exchange, self.answer
-        self.spare = 0
+        self.message_size.unfinished_bytes = 0
         if exchange is None or self.complete:
             return
         answer.size += len(body)
--- a/magpiefront/net/passing.py
+++ b/magpiefront/net/passing.py
@@ -83,9 +83,7 @@
         super().on_message_begin()
         self.incoming.fields = []
 
-    def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.in_head:
-            return  # a trailer field: dropped (RFC 9110, 6.5.1)
+    def _keep_field(self, name: bytes, value: bytes) -> None:
         lower, request = name.lower(), self.incoming
         value = value.rstrip(b" \t")
         before = request.headers.get(lower)
@@ -98,6 +96,9 @@
         request.fields.append((name, value))
 
     def on_headers_complete(self) -> None:
+        if self.closing:
+            super().on_headers_complete()
+            return
         request, settings = self.incoming, self.settings
         method, headers = self.parser.get_method(), request.headers
         if method == PURGE:
@@ -129,8 +130,7 @@
         if not bodiless and request.method != b"HEAD":
             super().answer(request, status, body, more)
             return
-        if request.size:
-            self._release_body(request)
+        self._release(request)
         close = self._closes_after(request)
         if not bodiless and CONTENT_LENGTH not in more.lower():
             # The length that the answer to a GET would have. If the server gave one, `more` contains it.
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -83,6 +83,8 @@
         self.lag = LoopLag(config.seed, lag_limit_s(config))
         self.events_log = EventLog(loop.time)
         self.list_received_at = 0  # `now_us` when discovery's latest list was applied; 0: never
+        # The number of the client's connection whose bytes took longest to parse lately; 0: none.
+        self.slowest_connection: Callable[[], int] = lambda: 0
         self.on_watch: Callable[[], None] = lambda: None  # called when the Router asks for the server list
         self.log_lines_left, self.log_period_start, self.log_lines_dropped = MAX_LOG_LINES, 0.0, 0
         self.answer_by_us: int | None = None  # at shutdown: `now_us` by which all requests are answered
@@ -118,6 +120,9 @@
             self._after_reading(self.lag.caught_up)
         if late_s > LONG_TURN_S:
             work = {"requests": len(self.router.pending), "attempts": self.router.in_flight}
+            slowest = self.slowest_connection()
+            if slowest:
+                work["connection"] = slowest
             self.events_log.emit("turn", None, late_ms=int(late_s * 1000), **work)
         self.loop.call_later(TICK_S, self.tick)
 
--- a/magpiefront/net/request.py
+++ b/magpiefront/net/request.py
@@ -25,6 +25,7 @@
     b"host", b"content-length", b"transfer-encoding", b"content-type", b"expect", b"idempotency-key",
     b"req-id", b"req-kind", b"req-owner", b"req-deadline", b"req-retry", b"req-cost", b"req-extra",
 })  # fmt: skip
+KEPT_FIELDS = SINGLE_VALUED  # all others mean nothing to the proxy, and are not forwarded
 METHODS = frozenset({b"GET", b"PUT"})
 READ_METHODS = frozenset({b"GET", b"HEAD"})
 # Cached, because the same few hosts and tenants recur: a look-up in a small table costs less than the match.
@@ -109,7 +110,8 @@
     """A client's request, from its first byte until it is answered and all its attempts have ended.
 
     Times are microseconds of the host's clock: `received_at` (when the request had arrived in full),
-    `deadline`, and `time_left` (from `received_at` to the deadline). `size` is that of the body, in bytes.
+    `deadline`, and `time_left` (from `received_at` to the deadline). `size` is that of the body,
+    and `held` what the request counts for in the account of the clients' memory, both in bytes.
 
     `error` is the status that an invalid head is answered with, or 0. `headers` has its names in lower case.
     `fields` holds the head's field lines in their order; it is set only if a front passes them on.
@@ -124,7 +126,7 @@
     execution: ExecutionTracker
 
     __slots__ = ("answered", "attempts", "body", "client_gone", "cls", "counts", "deadline", "error",
-                 "execution", "extra_fields", "fields", "headers", "in_flight", "keep_alive",
+                 "execution", "extra_fields", "fields", "headers", "held", "in_flight", "keep_alive",
                  "last_outcome", "method", "name", "received_at", "responder", "size",
                  "streaming_attempt", "target", "time_left", "timeout_timer", "wire_id")  # fmt: skip
 
@@ -134,6 +136,7 @@
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
         self.size = self.error = self.received_at = self.time_left = self.deadline = self.in_flight = 0
+        self.held = 0
         self.keep_alive = True
         self.answered = False
         self.name = ""
--- a/tests/caching/sockets.py
+++ b/tests/caching/sockets.py
@@ -11,7 +11,7 @@
 from magpiefront.caching.settings import CachingSettings
 from magpiefront.caching.stage import CachingStage
 from magpiefront.net import config
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.discovery import Discovery
 from magpiefront.net.front import Front
 from magpiefront.net.passing import ClientSettings, PassingProxy, forward_fields
@@ -64,7 +64,7 @@
     stage_options = {"wall": wall} if wall is not None else {}
     stage = CachingStage(proxy, proxy, settings, **stage_options)
     proxy.on_unsolicited_answer = stage.invalidate_target
-    front = Front(proxy, stage, BodyMemory(50 << 20), 500)
+    front = Front(proxy, stage, ClientMemory(50 << 20), 500)
     forward_fields(front, settings.clients)
     discovery = Discovery(proxy, conf.discovery, 1)
     discovery.start(conf.initial_list)
--- a/tests/caching/test_link.py
+++ b/tests/caching/test_link.py
@@ -12,7 +12,7 @@
 from magpiefront.gateway import wire
 from magpiefront.interface import Repeat
 from magpiefront.net import config
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.discovery import Discovery
 from magpiefront.net.front import Front
 from magpiefront.net.proxy import Proxy
@@ -96,7 +96,7 @@
         }, {})  # fmt: skip
         proxy = create_proxy(proxy_config, loop, operator)
         composition = Composition(proxy, proxy, operator, 1)
-        front = Front(proxy, composition.first_stage, BodyMemory(50 << 20), 500)
+        front = Front(proxy, composition.first_stage, ClientMemory(50 << 20), 500)
         composition.prepare_front(front)
         Discovery(proxy, proxy_config.discovery, 1).listing.apply(proxy_config.initial_list, stale=True)
         await composition.start()
--- a/tests/gateway/sites.py
+++ b/tests/gateway/sites.py
@@ -12,7 +12,7 @@
 from magpiefront.gateway.service import Gateway
 from magpiefront.gateway.settings import GatewaySettings, LinkSettings, Site, Tls
 from magpiefront.net import config
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.discovery import Discovery
 from magpiefront.net.front import Front
 from magpiefront.net.proxy import Proxy
@@ -148,7 +148,7 @@
     lines: list[str] = []
     proxy.log = lines.append  # type: ignore[method-assign,assignment]
     gateway = Gateway(proxy, proxy, settings, seed)
-    front = Front(proxy, gateway.stage, BodyMemory(50 << 20), 500)
+    front = Front(proxy, gateway.stage, ClientMemory(50 << 20), 500)
     discovery = Discovery(proxy, conf.discovery, seed)
     discovery.listing.apply(conf.initial_list, stale=True)
     front.listen("127.0.0.1", 0)
--- a/tests/record/sockets.py
+++ b/tests/record/sockets.py
@@ -11,7 +11,7 @@
 
 from magpiefront.interface import Outcome
 from magpiefront.net import config
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.discovery import Discovery
 from magpiefront.net.front import Front
 from magpiefront.net.proxy import Proxy
@@ -127,7 +127,7 @@
         store = PostgresStore(proxy, postgres_settings, settings.most_waiting, boot_id())
         await store.start()
     stage = RecordStage(proxy, proxy, settings, store)
-    front = Front(proxy, stage, BodyMemory(50 << 20), 500)
+    front = Front(proxy, stage, ClientMemory(50 << 20), 500)
     discovery = Discovery(proxy, read.discovery, 1)
     discovery.listing.apply(read.initial_list, stale=True)
     front.listen("127.0.0.1", 0)
--- a/tests/record/test_composed.py
+++ b/tests/record/test_composed.py
@@ -9,7 +9,7 @@
 
 from magpiefront.interface import Outcome
 from magpiefront.net import config
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.discovery import Discovery
 from magpiefront.net.front import Front
 from magpiefront.net.request import Request
@@ -85,7 +85,7 @@
 
         proxy.submit = recording_submit  # type: ignore[method-assign]
         composition = Composition(proxy, proxy, operator, 1)
-        front = Front(proxy, composition.first_stage, BodyMemory(50 << 20), 500)
+        front = Front(proxy, composition.first_stage, ClientMemory(50 << 20), 500)
         composition.prepare_front(front)
         Discovery(proxy, read.discovery, 1).listing.apply(read.initial_list, stale=True)
         await composition.start()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -14,7 +14,7 @@
 
 from magpiefront.interface import Action, AttemptEnded, Event, Outcome
 from magpiefront.net import config
-from magpiefront.net.bodies import BodyMemory
+from magpiefront.net.client_memory import ClientMemory
 from magpiefront.net.discovery import Discovery
 from magpiefront.net.front import Front
 from magpiefront.net.proxy import Proxy
@@ -326,7 +326,7 @@
         return handle(now_us, event)
 
     proxy.router.handle = spy  # type: ignore[method-assign]
-    front = Front(proxy, proxy, BodyMemory(int(memory_mb * 0.3) << 20), 500)
+    front = Front(proxy, proxy, ClientMemory(int(memory_mb * 0.3) << 20), 500)
     discovery = Discovery(proxy, settings.discovery, 1)
     discovery.start(settings.initial_list)
     front.listen("127.0.0.1", 0)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -122,7 +122,8 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port_of(admin), limit=1024)
             writer.write(b"show-stat\n")
             assert await command(admin, b"ready\n") == "OK\n"
-            assert len(metrics((await reader.read()).decode())) == 4 * 3003 + 7 + 6  # classes, process, pool
+            # Of each class, of the process, of the pool and of the clients.
+            assert len(metrics((await reader.read()).decode())) == 4 * 3003 + 7 + 6 + 9
             writer.close()
 
     run(main())
--- /dev/null
+++ b/tests/test_client_memory.py
@@ -0,0 +1,94 @@
+"""The account of the memory that clients hold, and which connections are closed for it."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from magpiefront.net import downstream
+from magpiefront.net.client_memory import CONNECTION_COST_BYTES, MIN_SHARE_BYTES, ClientMemory
+from tests.sockets import ok, reply, request, run, running_proxy, until
+
+MB = 1 << 20
+
+
+class FakeHolder:
+    """A connection that holds `held` bytes."""
+
+    def __init__(self) -> None:
+        self.held = self.resumed = 0
+
+    @property
+    def holds_memory(self) -> bool:
+        return self.held > 0
+
+    def resume_reading(self) -> None:
+        self.resumed += 1
+
+
+@pytest.mark.parametrize(
+    ("memory_mb", "at_rest_mb", "fits"), [(192, 27, True), (64, 27, True), (64, 40, True), (64, 60, False)]
+)
+def test_limits_fit_between_rest_and_the_limit_of_the_process(
+    memory_mb: int, at_rest_mb: int, fits: bool
+) -> None:
+    memory, connections = ClientMemory(0), 572
+    assert memory.fit(memory_mb * MB, at_rest_mb * MB, connections) is fits
+    assert min(memory.limit, memory.answer_limit) >= MIN_SHARE_BYTES
+    if fits:
+        total = at_rest_mb * MB + memory.limit + memory.answer_limit + connections * CONNECTION_COST_BYTES
+        assert total <= memory_mb * MB
+
+
+def test_above_the_limit_only_one_holder_reads_on_and_new_ones_may_begin() -> None:
+    memory, holders, new = ClientMemory(100), [FakeHolder() for _ in range(3)], FakeHolder()
+    for holder in holders:
+        holder.held = 60
+        memory.grow(holder, 60)
+    assert [memory.must_pause(holder) for holder in holders] == [True, False, True]
+    assert not memory.must_pause(new)
+    holders[1].held = 0
+    memory.release(holders[1], 60)
+    assert memory.exempt is holders[0] and holders[0].resumed == 1
+    holders[0].held = 0
+    memory.release(holders[0], 60)
+    assert holders[2].resumed == 1 and not memory.paused and memory.used == 60
+
+
+def test_clients_that_stop_within_a_body_make_room_for_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(downstream, "MIN_EVICTION_STALL_S", 0.02)
+
+    async def main() -> None:
+        async with running_proxy(None) as w:
+            w.front.max_clients = 4
+            half = [await w.client() for _ in range(4)]
+            for client in half:
+                client.send(request("PUT", body=b"x" * 5000)[:-2000])
+            await until(lambda: sum(c.held > 3000 for c in w.front.clients) == 4)
+            await asyncio.sleep(0.03)
+            assert (await w.ask()).status == 200
+            for client in half:
+                client.writer.close()
+            await until(lambda: not w.front.memory.used)
+
+    run(main())
+
+
+def test_clients_that_do_not_read_are_closed_when_their_answers_exceed_the_limit() -> None:
+    async def main() -> None:
+        async with running_proxy(reply(ok(b"x" * 60_000))) as w:
+            w.front.memory.answer_limit = 500_000
+            slow = [await w.client() for _ in range(10)]
+            for client in slow:
+                client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+                client.send(b"".join(request(deadline="30") for _ in range(200)))
+            await until(lambda: len(w.front.clients) < 10, "the close of one of them")
+            await until(lambda: not w.front.memory.answers_exceeded)
+            assert (await w.ask()).status == 200
+            for client in slow:
+                client.writer.transport.abort()
+            await until(lambda: not w.front.clients)
+            assert not w.front.memory.unsent and not w.front.memory.used
+
+    run(main())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,6 +9,7 @@
 
 from magpiefront.interface import Arrived
 from magpiefront.net import downstream, lag
+from magpiefront.net.pipeline import MAX_PIPELINED_REQUESTS
 from magpiefront.net.http1 import MAX_BODY_BYTES
 from tests.sockets import (
     Handler, ReceivedRequest, gated, ok, reply, request, run, running_proxy, silent, until,
@@ -143,7 +144,7 @@
             client.send(head(b"PUT /api/k", VALID + b"Transfer-Encoding: chunked\r\n"))
             client.send(b"30000\r\n" + b"x" * 0x30000 + b"\r\n")
             assert (await client.answer()).status == 413
-            assert w.front.bodies.used == 0 and not w.seen()
+            assert w.front.memory.used == 0 and not w.seen()
 
     run(main())
 
@@ -192,7 +193,7 @@
             client.send(request("PUT", kind="keyed", deadline="5", body=large))
             assert (await client.answer()).status == 200
             assert [s.body for s in w.seen()] == [b"abcde", large]
-            assert w.front.bodies.used == 0
+            assert w.front.memory.used == 0
 
     run(main())  # fmt: skip
 
@@ -209,12 +210,12 @@
             client = await w.client()
             client.send(b"".join(request(path=f"/api/{n}") for n in range(20)) + request()[:30])
             assert [(await client.answer()).body for _ in range(20)] == [b"/api/%d" % n for n in range(20)]
-            many = downstream.MAX_PIPELINED_REQUESTS + 10
+            many = MAX_PIPELINED_REQUESTS + 10
             client.send(b"x")  # makes the request that was begun invalid
             client = await w.client()
             client.send(b"".join(request(path=f"/api/{n}") for n in range(many)))
             statuses = [(await client.answer()).status for _ in range(many)]
-            assert statuses.count(200) >= downstream.MAX_PIPELINED_REQUESTS and set(statuses) <= {200, 503}
+            assert statuses.count(200) >= MAX_PIPELINED_REQUESTS and set(statuses) <= {200, 503}
 
     run(main())
 
@@ -299,7 +300,7 @@
             assert (await owner.answer()).status == 200
             assert len({e.request for e in w.events if isinstance(e, Arrived)}) == len(w.seen()) == 1
             other.send(same)
-            assert (await other.answer()).status == 200 and w.front.bodies.used == 0
+            assert (await other.answer()).status == 200 and w.front.memory.used == 0
 
     run(main())
 
@@ -338,7 +339,7 @@
             await until(lambda: any(c.transport and not c.lingering for c in w.front.clients))
             w.front.sweep()
             assert await client.ended() == b""
-            assert w.front.bodies.used == 0
+            assert w.front.memory.used == 0
 
     run(main())
 
@@ -370,7 +371,7 @@
 def test_concurrent_large_bodies_wait_for_memory() -> None:
     async def main() -> None:
         async with running_proxy(None) as w:
-            w.front.bodies.limit = 1_000_000
+            w.front.memory.limit = 1_000_000
             size, used = 3_000_000, []
             clients = [await w.client() for _ in range(6)]
             for c in clients:
@@ -378,7 +379,7 @@
 
             async def record() -> None:
                 while True:
-                    used.append(w.front.bodies.used)
+                    used.append(w.front.memory.used)
                     await asyncio.sleep(0.001)
 
             recording = asyncio.ensure_future(record())
@@ -386,7 +387,7 @@
             recording.cancel()
             # One body is read to its end, and each of the others by at most one more read.
             assert max(used) < 1_000_000 + size + 6 * 300_000
-            assert w.front.bodies.used == 0 and not w.front.bodies.paused
+            assert w.front.memory.used == 0 and not w.front.memory.paused
 
     run(main())
 
@@ -430,7 +431,7 @@
             heads = [await w.client() for _ in range(2)]
             for c in heads:
                 c.send(request()[:30])
-            await until(lambda: sum(bool(c.spare) for c in w.front.clients) == 2)
+            await until(lambda: sum(not c.between_messages for c in w.front.clients) == 2)
             silent_ones = [await w.client() for _ in range(10)]
             for _ in range(3):
                 assert (await w.ask()).status == 200
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -24,7 +24,7 @@
     """Waits until the proxy holds no request, and checks that no resource of a request is left."""
     await until(lambda: not w.proxy.requests, "the removal of every request")
     assert not w.proxy.router.pending and not w.proxy.router.in_flight
-    assert not w.front.bodies.used and not w.proxy.streams
+    assert not w.front.memory.used and not w.proxy.streams
 
 
 @pytest.mark.parametrize(
