--- a/magpiefront/interface.py
+++ b/magpiefront/interface.py
@@ -197,7 +197,8 @@
 
 @dataclass(slots=True)
 class Arrived:
-    """A request has arrived. If `key` is None, the id of the request is hashed instead of a key."""
+    """A request has arrived. If `key` is None, the id of the request is hashed instead of a key. `pipelined`:
+    its client has sent further requests behind it on the same connection."""
 
     request: str
     class_name: str
@@ -208,6 +209,7 @@
     write: bool = False
     is_retry: bool = False
     cls: RequestClass | None = None  # the class as it was when the request was read; None: look it up by name
+    pipelined: bool = False
 
 
 @dataclass(slots=True)
@@ -222,6 +224,7 @@
     finished: bool = False  # the request has its final answer
     cache_result: int = 0  # 1: hit, 2: miss, 3: miss while the key was already being fetched; 0: not known
     report: dict[str, float] | None = None  # the server's load report, if it sent one
+    pipelined: bool = False  # as in `Arrived`, but known by now
 
 
 @dataclass(slots=True)
--- a/magpiefront/router.py
+++ b/magpiefront/router.py
@@ -49,6 +49,8 @@
 # CHEAP_RETRY_COST after one of the CHEAP_OUTCOMES; after any other outcome it costs 1 if the attempt may have
 # run, and nothing if it cannot have run.
 MAX_RETRY_BUDGET, CHEAP_RETRY_COST = 10.0, 0.25
+# Clients that send many requests at once on a connection leave this much of the budget to others.
+PIPELINED_RESERVE = MAX_RETRY_BUDGET / 2
 CHEAP_OUTCOMES = (Outcome.FULL, Outcome.RESET)
 # A request is hedged when its attempt has taken longer than the mean latency of its class's cache hits plus
 # HEDGE_DEVIATIONS times their mean deviation, but not before a quarter of the class's latency objective.
@@ -159,7 +161,7 @@
 
     __slots__ = (
         "arrived", "attempts", "cls", "deadline", "done", "expires_at", "key", "max_attempts", "name",
-        "needs_fetch", "next_jump", "outstanding", "to_origin", "write",
+        "needs_fetch", "next_jump", "outstanding", "pipelined", "to_origin", "write",
     )  # fmt: skip
 
     def __init__(self, event: Arrived, cls: RequestClass, now: int, settings: Settings) -> None:
@@ -168,7 +170,7 @@
         self.key = splitmix64(event.key if event.key is not None else text_hash(event.request))
         self.deadline = now + max(0, event.time_left_us - round_us)
         self.expires_at = self.deadline if cls.late_worth > 0 else min(self.deadline, now + cls.aim_us)
-        self.outstanding, self.next_jump, self.write = 0, 0, event.write
+        self.outstanding, self.next_jump, self.write, self.pipelined = 0, 0, event.write, event.pipelined
         self.done = self.to_origin = self.needs_fetch = False
 
     def first_executed(self) -> Attempt | None:
@@ -258,6 +260,9 @@
         self.retry_budget = MAX_RETRY_BUDGET
         # `server_gate` sheds load while the servers are overloaded, `origin_gate` while the origin is.
         self.server_gate, self.origin_gate = AdmissionGate(), AdmissionGate()
+        # Clients that send many requests at once on a connection have a further gate. Their outcomes close
+        # only that one: otherwise a few such clients would have the requests of all others refused.
+        self.pipelined_gate = AdmissionGate()
         # A server of weight `weight_unit` gets SLOTS_PER_SERVER slots; 0 until a list has weights.
         self.fleet_bad_share, self.weight_unit = 0.0, 0.0
         self.read_latency = ReadLatency(min((c.aim_us for c in settings.classes), default=0) / 4)
@@ -344,12 +349,14 @@
         self.origin_gate.baseline = self.server_gate.bad_share
         self.server_gate.record_arrival(since)
         self.origin_gate.record_arrival(since)
+        self.pipelined_gate.record_arrival(since)
         pending.needs_fetch = event.write or not self._is_cached(pending.key)
         # The key's hash decides, so that all proxies admit the same keys. The more often a key is requested,
         # the more likely the origin's gate admits it.
         if unit_interval(pending.key) >= min(
-            self.server_gate.share, self.origin_gate.share * seen if pending.needs_fetch else 1.0
-        ):
+            self.server_gate.share, self.origin_gate.share * seen if pending.needs_fetch else 1.0,
+            self.pipelined_gate.share if pending.pipelined else 1.0,
+        ):  # fmt: skip
             self._answer_unserved(pending)
             return
         if pending.needs_fetch and not event.write:
@@ -522,6 +529,7 @@
         pending.outstanding -= 1
         attempt.server.in_flight -= 1
         self.in_flight -= 1
+        pending.pipelined = pending.pipelined or event.pipelined
         self._record_outcome(now, pending, attempt, event)
         pending.done = pending.done or event.finished or event.outcome is Outcome.OK
         if pending.done:
@@ -531,7 +539,7 @@
             cost = (
                 CHEAP_RETRY_COST if event.outcome in CHEAP_OUTCOMES else float(event.outcome not in NEVER_RAN)
             )
-            if now < pending.expires_at and self.retry_budget >= cost and self._may_retry(now, pending):
+            if now < pending.expires_at and self._budget(pending) >= cost and self._may_retry(now, pending):
                 self.retry_budget -= cost
                 self._start_attempt(now, pending)
             else:
@@ -542,6 +550,10 @@
         keyed = pending.cls.repeat is Repeat.KEYED and now < self._retry_window_end(pending)
         return left and (executed is None or pending.cls.repeat is Repeat.SAFE or keyed)
 
+    def _budget(self, pending: PendingRequest) -> float:
+        """Returns how much of the retry budget the request may use."""
+        return self.retry_budget - (PIPELINED_RESERVE if pending.pipelined else 0.0)
+
     def _retry_window_end(self, pending: PendingRequest) -> int:
         """Returns the time before which a retry of a keyed request must begin; 0 if there is no limit. The
         servers' window begins with the first attempt that may have run, and a retry must reach them within
@@ -600,9 +612,8 @@
             if server.failures:
                 self.set_failures(server, 0)
             if representative:
-                (
-                    self.origin_gate if event.cache_result > 1 or pending.write else self.server_gate
-                ).record_outcome(now - pending.arrived > pending.cls.aim_us)
+                gate = self.origin_gate if event.cache_result > 1 or pending.write else self.server_gate
+                self._gate(pending, gate).record_outcome(now - pending.arrived > pending.cls.aim_us)
             if not pending.write:
                 self.cached_keys.add(pending.key)
                 self._record_latency(
@@ -619,7 +630,7 @@
         if outcome is Outcome.FULL:
             server.responded_at = now
             if representative and not server.suspect:
-                self.server_gate.record_outcome(True)
+                self._gate(pending, self.server_gate).record_outcome(True)
         elif failed or outcome is Outcome.TIMEOUT:
             if outcome is Outcome.TIMEOUT:
                 # The answer would have taken at least this long.
@@ -628,11 +639,9 @@
             # A suspect's failures say something only about that server, and a reset says something about its
             # connection, not about the origin.
             if representative and not server.suspect and outcome is not Outcome.RESET:
-                (
-                    self.server_gate
-                    if cached and not pending.write and outcome is Outcome.TIMEOUT
-                    else self.origin_gate
-                ).record_outcome(True)
+                by_server = cached and not pending.write and outcome is Outcome.TIMEOUT
+                gate = self.server_gate if by_server else self.origin_gate
+                self._gate(pending, gate).record_outcome(True)
             if outcome is Outcome.ERROR or not cached or pending.write:
                 self.cached_keys.discard(pending.key)
                 self.previous_cached_keys.discard(pending.key)
@@ -644,6 +653,10 @@
             self._mark_suspect(now, server, outcome is Outcome.CONNECT_FAILED)
         server.trial_in_flight = False
 
+    def _gate(self, pending: PendingRequest, gate: AdmissionGate) -> AdmissionGate:
+        """Returns the gate that an outcome of the request counts for, given the one for other requests."""
+        return self.pipelined_gate if pending.pipelined else gate
+
     def _record_latency(self, now: int, server: Server, latency: float) -> None:
         """Updates the server's average latency (us). The longer ago it was updated, the more the new value
         weighs."""
@@ -882,7 +895,7 @@
                 pending
                 and not pending.done
                 and pending.outstanding == 1
-                and self.retry_budget >= 1
+                and self._budget(pending) >= 1
                 and self._may_retry(now, pending)
             ):
                 self.retry_budget -= self._start_attempt(now, pending)
