--- a/magpiefront/__main__.py
+++ b/magpiefront/__main__.py
@@ -88,6 +88,7 @@
         proxy, first_stage, memory, settings.sockets - RESERVED_DESCRIPTORS - proxy.max_node_connections
     )
     proxy.slowest_connection = front.turns.take_slowest
+    front.answer_unconfirmed = proxy.remember_id
     if composition is not None:
         composition.prepare_front(front)
     discovery = Discovery(proxy, settings.discovery, settings.seed)
--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -20,6 +20,7 @@
 from magpiefront.net.request import KEPT_FIELDS, METHODS, SINGLE_VALUED, Request, Stage
 from magpiefront.net.socket_state import SocketState, since_last_data_s
 from magpiefront.net.turns import ReadTurns
+from magpiefront.request_ids import OnceRequest, must_run_once
 
 # A connection that can't be served is answered or closed within 3 s of connecting: at the first sweep after
 # one of these timeouts, with half a second between two sweeps.
@@ -72,6 +73,9 @@
     def relieve_answers(self) -> None:
         """Closes connections whose clients do not read, if unread answers take too much memory."""
 
+    def answer_unconfirmed(self, request: OnceRequest) -> None:
+        """A client has gone right after it was sent the answer to this request, which it may not have got."""
+
 
 class ClientConnection(Connection):
     """A client's HTTP/1.1 connection, and the `Responder` of its requests.
@@ -87,9 +91,9 @@
     allow = b"Allow: GET, PUT\r\n"
     __slots__ = ("answer_due_us", "body_left", "chunked", "closing", "continuing", "excess_requests", "front",
                  "held", "hold_timer", "incoming", "last_progress_at", "lingering", "max_unread_us",
-                 "message_began_at", "number", "paused_at_us", "queued", "read_at_us", "reading",
-                 "refusing_excess", "request", "served", "size", "socket_state", "unparsed", "unsent",
-                 "writable")  # fmt: skip
+                 "message_began_at", "number", "paused_at_us", "pipelines", "queued", "read_at_us", "reading",
+                 "refusing_excess", "request", "served", "size", "socket_state", "unconfirmed", "unparsed",
+                 "unsent", "writable")  # fmt: skip
 
     def __init__(self, front: ConnectionOwner, number: int = 0) -> None:
         super().__init__()
@@ -105,6 +109,8 @@
         )
         self.reading = self.writable = True
         self.served = False  # whether a request was served
+        self.unconfirmed: OnceRequest | None = None  # answered last, and the client has sent nothing since
+        self.pipelines = False  # whether the client has sent a request before it had its last answer
         # Loop times, for the timeouts: when the current message began, and when the last progress was made.
         self.message_began_at = self.last_progress_at = front.loop.time()
         # The longest time (microseconds) for which the next bytes may have waited unread, because the
@@ -179,6 +185,9 @@
             request.counts.errors += 1
             self._release(request)
             self.front.stage.client_left(request)
+        unconfirmed, self.unconfirmed = self.unconfirmed, None
+        if unconfirmed is not None:
+            self.front.answer_unconfirmed(unconfirmed)
 
     def _drop_queued(self) -> None:
         """Drops what is being read and the queued requests; none of them gets an answer."""
@@ -365,6 +374,10 @@
     def on_message_begin(self) -> None:
         super().on_message_begin()
         self.message_began_at = self.last_progress_at
+        if self.request is not None:
+            self.request.pipelined = self.pipelines = True
+        else:
+            self.unconfirmed = None
 
     def on_url(self, url: bytes) -> None:
         if self.closing:
@@ -472,6 +485,7 @@
                 self.answer(request, request.error)
                 continue
             self._cap_time_by_queued(request)
+            request.pipelined = self.pipelines or not self.between_messages or self._answers_due
             if request.target.startswith(b"/ready") and request.target.partition(b"?")[0] == b"/ready":
                 self.answer(request, 503 if self.front.stopping else 200)
             else:
@@ -538,6 +552,8 @@
 
     def _finish_answer(self, request: Request, close: bool) -> None:
         self.request = None
+        if request.served and request.cls is not None and must_run_once(request.cls):
+            self.unconfirmed = OnceRequest(request.wire_id, request.cls)
         self.served = True
         self.last_progress_at = self.front.loop.time()
         if close:
--- a/magpiefront/net/events.py
+++ b/magpiefront/net/events.py
@@ -28,7 +28,8 @@
     EXHAUSTED = "exhausted"  # all attempts that the class and the deadline allow have failed
     BEHIND = "behind"  # the event loop runs late
     CROWDED = "crowded"  # the limit of open requests is reached
-    DUPLICATE = "duplicate"  # another open request has the same id
+    DUPLICATE = "duplicate"  # another request with the same id is open, or may have run
+    IDS = "ids"  # there is no room for another id of a request that must run once
     OLDER = "older"  # older than the data already held: the response to an earlier call
     OVERDUE = "overdue"  # the deadline passed before a response came
     ENDED = "ended"  # another attempt has served the request, or its client has gone
--- a/magpiefront/net/exchange.py
+++ b/magpiefront/net/exchange.py
@@ -96,6 +96,11 @@
         """Whether the exchange has started on a connection."""
         return self.connection is not None
 
+    @property
+    def fully_written(self) -> bool:
+        """Whether the whole message has been handed to the kernel, on a connection that is still its own."""
+        return self.connection is not None and self.connection.written
+
     def may_begin(self) -> bool:
         """Whether the message may still be sent. Called right before its first byte is written, since much
         time may have passed since the decision to send it."""
@@ -107,8 +112,7 @@
     def expire(self) -> None:
         """Called when the time for the exchange is over. Ends it as TIMEOUT, or as MOOT if its message has
         not been written completely."""
-        unsent = self.connection is None or not self.connection.written
-        self.end(Outcome.MOOT if unsent else Outcome.TIMEOUT)
+        self.end(Outcome.TIMEOUT if self.fully_written else Outcome.MOOT)
 
 
 class Attempt(Exchange):
--- a/magpiefront/net/front.py
+++ b/magpiefront/net/front.py
@@ -15,6 +15,7 @@
 from magpiefront.net.request import Stage
 from magpiefront.net.shutdown import MIN_IDLE_S
 from magpiefront.net.turns import ReadTurns
+from magpiefront.request_ids import OnceRequest
 
 ACCEPT_RETRY_S = 0.05  # after a shortage of room or descriptors, until accepting is tried again
 # Maximum number of connections that one call of `_make_room` closes. A twentieth of `max_clients` (plus one)
@@ -38,6 +39,8 @@
         self.turns = ReadTurns(self.loop)
         self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.accepted = 0  # connections so far
+        # Called with a request whose client may not have got its answer.
+        self.answer_unconfirmed: Callable[[OnceRequest], None] = lambda request: None
         self.clients: dict[ClientConnection, None] = {}
         self.handed_over = False  # whether another process accepts connections in place of this one
         self.opening: set[asyncio.Task[object]] = set()  # the running tasks of `_open`
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -18,7 +18,7 @@
 from magpiefront import Router
 from magpiefront.hashing import bytes_hash
 from magpiefront.interface import (
-    Action, Arrived, AttemptEnded, Cancel, ClientLeft, Event, Exclude, Fail, Include, LogMessage,
+    NEVER_RAN, Action, Arrived, AttemptEnded, Cancel, ClientLeft, Event, Exclude, Fail, Include, LogMessage,
     OperatorResult, Outcome, Probe, ProbeEnded, Refuse, RequestClass, Send, ServerList, SetTimer, StopSending,
     TimerFired, Watch,
 )  # fmt: skip
@@ -32,6 +32,7 @@
 from magpiefront.net.node_connection import Stray
 from magpiefront.net.pool import Node, Pool
 from magpiefront.net.request import Request
+from magpiefront.request_ids import IDS_PER_MB, OnceRequest, RequestIds, memory_us, must_run_once
 from magpiefront.reuse import MAX_DUPLICATE_DELAY_S
 
 Args = TypeVarTuple("Args")
@@ -71,6 +72,9 @@
         self.events: deque[Event] = deque()
         self.dispatching = False
         self.requests: dict[str, Request] = {}
+        self.ids = RequestIds(IDS_PER_MB * config.memory_mb)
+        # Called with the id of each request that must run once, and for how long (us) it may be known to run.
+        self.on_new_id: Callable[[bytes, int], None] = lambda name, known_us: None
         self.classes = classes_by_name(config)
         self.metrics = Metrics(self.classes)
         self.operator_command_accepted = False  # whether the Router accepted the operator's latest command
@@ -285,6 +289,8 @@
         """Removes a request that is answered and has no attempt in flight. If it were kept, memory would grow
         with every request, and after `max_open` requests in all, every further one would be refused."""
         if request.answered and not request.in_flight:
+            if request.may_have_run and not request.served and request.cls is not None:
+                self.remember_id(OnceRequest(request.wire_id, request.cls))
             self.requests.pop(request.name, None)
 
     # ---- requests
@@ -313,13 +319,16 @@
             request.responder.answer(request, 503)
             return
         request.name = request.wire_id.decode("latin-1")
+        once = must_run_once(request.cls) and request.client_gone is not None
         while request.name in self.requests:
-            if not self.requests[request.name].answered:
+            if once or not self.requests[request.name].answered:
                 # Another open request has this id. A cache node would see the same id twice.
                 self.events_log.emit("refused", Reason.DUPLICATE, request=request.name)
                 request.responder.answer(request, 409)
                 return
             request.name += "'"  # the other request is answered, but still has an attempt in flight
+        if once and not self._accept_id(request):
+            return
         if request.size:
             request.extra_fields += b"Content-Length: %d\r\n" % request.size
         elif request.method != b"GET" and request.method != b"HEAD":
@@ -344,9 +353,35 @@
                 request.method != b"GET" and request.method != b"HEAD",
                 headers.get(b"req-retry") == b"1",
                 cls,
+                request.pipelined,
             )
         )
 
+    def _accept_id(self, request: Request) -> bool:
+        """Whether a request that must run once may be sent. If not, answers it: 409 if a request with its id
+        may have run, 503 if there is no room to keep another id."""
+        now, cls = self.now_us(), request.cls
+        assert cls is not None
+        if self.ids.knows(request.wire_id, now):
+            self.events_log.emit("refused", Reason.DUPLICATE, request=request.name, ended=True)
+            request.responder.answer(request, 409)
+            return False
+        if self.ids.is_full(now):
+            self.events_log.emit("refused", Reason.IDS, request=request.name, ids=len(self.ids))
+            request.responder.answer(request, 503)
+            return False
+        self.on_new_id(request.wire_id, request.time_left + memory_us(cls))
+        return True
+
+    def remember_id(self, request: OnceRequest) -> None:
+        """Keeps the id of a request that has run or may run, so that it is not sent a second time."""
+        self.ids.remember(request.name, self.now_us() + memory_us(request.cls))
+
+    def _keep_id_of_cut(self, request: Request) -> None:
+        """Keeps the id of a request whose answer did not reach its client to the end."""
+        if request.cls is not None and must_run_once(request.cls):
+            self.remember_id(OnceRequest(request.wire_id, request.cls))
+
     def _refusal_reason(self) -> Reason | None:
         """Why a further request is refused now; None if it is not."""
         if len(self.requests) >= self.config.max_open:
@@ -370,6 +405,7 @@
     def client_left(self, request: Request) -> None:
         stream, request.streaming_attempt = request.streaming_attempt, None
         if stream is not None:
+            self._keep_id_of_cut(request)
             stream.end(Outcome.CANCELLED)
         if not request.answered:
             self._mark_answered(request)
@@ -403,6 +439,7 @@
         request = attempt.request
         request.last_outcome = outcome
         if outcome is Outcome.OK and answer is not None and not request.answered:
+            request.served = True
             self._mark_answered(request)
             request.responder.answer(request, answer.status, answer.body, self.head_of(answer))
         self._report_outcome(attempt, outcome, answer)
@@ -410,13 +447,15 @@
     def _report_outcome(self, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
         request = attempt.request
         request.in_flight -= 1
+        if must_run_once(request.cls) and outcome not in NEVER_RAN:
+            request.may_have_run = request.may_have_run or answer is not None or attempt.fully_written
         cache_result = answer.cache_result if answer is not None else 0
         report = answer.report if answer is not None else None
         elapsed_us = self.now_us() - attempt.sent_at
         self.dispatch(
             AttemptEnded(
                 request.name, attempt.number, attempt.node.name, outcome, elapsed_us, request.answered,
-                cache_result, report,
+                cache_result, report, request.pipelined,
             )
         )  # fmt: skip
         self._drop_if_finished(request)
@@ -426,6 +465,7 @@
         first bytes of its answer, so the outcome is reported to the Router now; it takes no part in the rest
         of the transfer."""
         request = attempt.request
+        request.served = True
         self._mark_answered(request)
         request.streaming_attempt = attempt
         self.streams[attempt] = None
@@ -443,6 +483,7 @@
             if outcome is Outcome.OK:
                 request.responder.end(request)
             else:
+                self._keep_id_of_cut(request)
                 self.events_log.emit("closed", Reason.CUT, request=request.name, outcome=outcome.value)
                 request.responder.abort(request)
 
--- a/magpiefront/net/request.py
+++ b/magpiefront/net/request.py
@@ -118,8 +118,10 @@
     `execution` is set only if a stage needs to know whether the request may have run. `extra_fields` are
     field lines that are added when the request is sent to a node. `wire_id` is the value of `Req-Id`; `name`
     is made from it and identifies the request among those that are open. `in_flight` counts the attempts that
-    have not ended. `client_gone` asks the kernel whether the client has closed its connection; it is None if
-    no client waits for this very request, as with a clone.
+    have not ended. `pipelined`: its client has sent more behind it on its connection. `may_have_run`: one of
+    its attempts may have run; kept only for classes that must run once. `served`: the client gets a node's
+    answer. `client_gone` asks the kernel whether the client has closed its connection; it is None if no
+    client waits for this very request, as with a clone.
     """
 
     fields: list[tuple[bytes, bytes]]
@@ -127,8 +129,9 @@
 
     __slots__ = ("answered", "attempts", "body", "client_gone", "cls", "counts", "deadline", "error",
                  "execution", "extra_fields", "fields", "headers", "held", "in_flight", "keep_alive",
-                 "last_outcome", "method", "name", "received_at", "responder", "size",
-                 "streaming_attempt", "target", "time_left", "timeout_timer", "wire_id")  # fmt: skip
+                 "last_outcome", "may_have_run", "method", "name", "pipelined", "received_at", "responder",
+                 "served", "size", "streaming_attempt", "target", "time_left", "timeout_timer",
+                 "wire_id")  # fmt: skip
 
     def __init__(self, responder: Responder) -> None:
         self.responder = responder
@@ -138,7 +141,7 @@
         self.size = self.error = self.received_at = self.time_left = self.deadline = self.in_flight = 0
         self.held = 0
         self.keep_alive = True
-        self.answered = False
+        self.answered = self.pipelined = self.may_have_run = self.served = False
         self.name = ""
         self.attempts: list[AttemptHandle] = []
         self.streaming_attempt: AttemptHandle | None = None
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -327,6 +327,7 @@
 
     proxy.router.handle = spy  # type: ignore[method-assign]
     front = Front(proxy, proxy, ClientMemory(int(memory_mb * 0.3) << 20), 500)
+    front.answer_unconfirmed = proxy.remember_id
     discovery = Discovery(proxy, settings.discovery, 1)
     discovery.start(settings.initial_list)
     front.listen("127.0.0.1", 0)
