--- a/magpiefront/net/events.py
+++ b/magpiefront/net/events.py
@@ -16,6 +16,7 @@
 from enum import Enum
 
 MAX_LINES = 5  # lines of one kind of event in each period
+MAX_VALUE_CHARS = 100  # of a value in a line: ids may have thousands
 PERIOD_S = 10.0  # begins anew with the first event after the end of the previous period
 
 logger = logging.getLogger("magpiefront.events")
@@ -69,7 +70,7 @@
         words = [f"event={event}"]
         if reason is not None:
             words.append(f"reason={reason.value}")
-        words += [f"{name}={value}" for name, value in fields.items()]
+        words += [f"{name}={str(value)[:MAX_VALUE_CHARS]}" for name, value in fields.items()]
         left_out = self._left_out.pop(event, 0)
         if left_out:
             words.append(f"left_out={left_out}")
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -32,7 +32,7 @@
 from magpiefront.net.node_connection import Stray
 from magpiefront.net.pool import Node, Pool
 from magpiefront.net.request import Request
-from magpiefront.request_ids import IDS_PER_MB, OnceRequest, RequestIds, memory_us, must_run_once
+from magpiefront.request_ids import IDS_PER_MB, OnceRequest, RequestIds, key_of, memory_us, must_run_once
 from magpiefront.reuse import MAX_DUPLICATE_DELAY_S
 
 Args = TypeVarTuple("Args")
@@ -370,13 +370,27 @@
             self.events_log.emit("refused", Reason.IDS, request=request.name, ids=len(self.ids))
             request.responder.answer(request, 503)
             return False
-        self.on_new_id(request.wire_id, request.time_left + memory_us(cls))
+        self.on_new_id(key_of(request.wire_id), request.time_left + memory_us(cls))
         return True
 
     def remember_id(self, request: OnceRequest) -> None:
         """Keeps the id of a request that has run or may run, so that it is not sent a second time."""
         self.ids.remember(request.name, self.now_us() + memory_us(request.cls))
 
+    def known_ids(self) -> list[tuple[str, int]]:
+        """The ids of requests that must run once and have run or may run, each with the microseconds for
+        which that is known."""
+        now = self.now_us()
+        still_open = [
+            (
+                key_of(request.wire_id).decode("latin-1"),
+                max(0, request.deadline - now) + memory_us(request.cls),
+            )
+            for request in self.requests.values()
+            if request.cls is not None and must_run_once(request.cls) and request.client_gone is not None
+        ]
+        return self.ids.snapshot(now) + still_open
+
     def _keep_id_of_cut(self, request: Request) -> None:
         """Keeps the id of a request whose answer did not reach its client to the end."""
         if request.cls is not None and must_run_once(request.cls):
--- a/magpiefront/request_ids.py
+++ b/magpiefront/request_ids.py
@@ -9,11 +9,13 @@
 
 from collections import deque
 from dataclasses import dataclass
+from hashlib import blake2b
 
 from magpiefront.interface import Repeat, RequestClass
 
 MIN_MEMORY_US = 10_000_000  # how long an id is kept at least: clients come back some seconds after a failure
 IDS_PER_MB = 100  # of the process's memory limit; an id takes some 200 bytes
+MAX_KEY_BYTES = 64  # of an id as it is kept; a longer one is kept as its hash
 
 
 def must_run_once(cls: RequestClass | None) -> bool:
@@ -27,6 +29,11 @@
     return max(MIN_MEMORY_US, cls.deadline_us, cls.window_us)
 
 
+def key_of(name: bytes) -> bytes:
+    """The id as it is kept: itself, or its hash if it is long. The key of a key is the key itself."""
+    return name if len(name) <= MAX_KEY_BYTES else b"#" + blake2b(name, digest_size=24).digest()
+
+
 @dataclass(frozen=True, slots=True)
 class OnceRequest:
     """A request that must run once and has run, by its id and class."""
@@ -45,6 +52,7 @@
 
     def remember(self, name: bytes, until_us: int) -> None:
         """Keeps an id up to this time, or as long as it is kept already if that is longer."""
+        name = key_of(name)
         known_until = self._until.get(name)
         if known_until is None or until_us > known_until:
             self._until[name] = until_us
@@ -52,7 +60,7 @@
 
     def knows(self, name: bytes, now_us: int) -> bool:
         """Whether a request with this id may have run."""
-        until_us = self._until.get(name)
+        until_us = self._until.get(key_of(name))
         return until_us is not None and until_us > now_us
 
     def is_full(self, now_us: int) -> bool:
--- a/magpiefront/upgrade/handover.py
+++ b/magpiefront/upgrade/handover.py
@@ -8,6 +8,8 @@
     old -> new   clients   client connections that have become idle
     old -> new   load      what the old process still has in flight, until nothing is left
     both         ban       an operator's command, given to either process, applies to both
+    both         ids       requests that must run once and were accepted: neither process sends them again;
+                           to the old process only if its offer says that it takes them
 
 Before `take`, the failure of one side changes nothing for the other. The one exception is a new process that
 already has the listening socket: it starts on its own with that socket, so that connections in the accept
--- a/magpiefront/upgrade/new_process.py
+++ b/magpiefront/upgrade/new_process.py
@@ -30,6 +30,7 @@
         over from it."""
         self.protocol = NewSide()
         self.listeners: dict[str, socket.socket] = {}  # by name; `CLIENTS` is the one for clients
+        self.takes_ids = False  # whether the old process understands messages with ids of requests
         self.early_messages: list[Message] = []  # received before `go`; handled once this process serves
         self.socket = wire.connect(path, ANSWER_TIMEOUT_S)
         if self.socket is None:
@@ -37,6 +38,7 @@
         received = self._ask(self.socket, {"t": "hello", "version": VERSION})
         match received:
             case ({"t": "offer", "version": version, **others}, [_, *_] as descriptors):
+                self.takes_ids = others.get("ids") is True
                 self._offered(version, others.get("listeners", [CLIENTS]), descriptors)
             case ({"t": "no", "why": str(reason)}, []):
                 self._do(self.protocol.handle(No(reason)))
@@ -126,6 +128,8 @@
         assert client.socket is not None
         self.channel = Channel(proxy.loop, client.socket, self._on_message, self._on_end)
         commands.on_override = self.channel.send_override
+        if client.takes_ids:
+            proxy.on_new_id = self._tell_id
         for message in client.early_messages:
             self._on_message(message, [])
 
@@ -144,8 +148,15 @@
                 self.front.max_clients = max(8, self.max_clients - clients)
             case {"t": "ban", "id": str(server), "out": bool(out)}:
                 self.proxy.set_excluded(server, out, known=True)
+            case {"t": "ids", "ids": list(ids)}:
+                state.remember_ids(self.proxy, ids)
         wire.close_descriptors(descriptors)
 
+    def _tell_id(self, name: bytes, known_us: int) -> None:
+        """Tells the old process that this one has accepted a request that must run once."""
+        if self.channel.open:
+            self.channel.send({"t": "ids", "ids": [[name.decode("latin-1"), known_us]]})
+
     def _on_end(self, malformed: bool) -> None:
         self.proxy.dispatch(PredecessorLoad({}))
         self.proxy.pool.max_connections, self.front.max_clients = self.max_node_connections, self.max_clients
--- a/magpiefront/upgrade/old_process.py
+++ b/magpiefront/upgrade/old_process.py
@@ -26,6 +26,7 @@
 # requests are open, and while none are.
 BUSY_INTERVAL_S, IDLE_INTERVAL_S = 0.01, 0.25
 HELLO_TIMEOUT_S = 2.0  # from the accept to `hello`
+IDS_PER_MESSAGE = 200
 
 
 class SharedFront(Protocol):
@@ -62,6 +63,7 @@
         self.next_update: asyncio.TimerHandle | None = None
         self.sent_load: Message = {}  # the latest `load` message
         self.sending_state = False  # whether the state is being sent to the next process
+        self.unsent_ids: list[list[object]] = []  # accepted while it is sent, for a message after that
 
     # ---- listening for the next process
 
@@ -124,6 +126,8 @@
                 self._do(self.protocol.handle(Take()))
             case {"t": "ban", "id": str(server), "out": bool(out)} if channel is self.channel:
                 self.proxy.set_excluded(server, out, known=True)
+            case {"t": "ids", "ids": list(ids)} if channel is self.channel:
+                state.remember_ids(self.proxy, ids)
             case _:
                 self._on_end(channel, EndCause.MALFORMED)
 
@@ -140,7 +144,7 @@
             self.loop.call_later(TAKE_TIMEOUT_S, self._take_timed_out, channel)
             offered = {wire.CLIENTS: self.front.socket}
             offered |= {other.name: other.socket for other in self.others if other.socket is not None}
-            message = {"t": "offer", "version": VERSION, "listeners": list(offered)}
+            message = {"t": "offer", "version": VERSION, "listeners": list(offered), "ids": True}
             channel.send(message, [s.fileno() for s in offered.values()])
 
     def _take_timed_out(self, channel: Channel) -> None:
@@ -187,6 +191,7 @@
         self.unlisten()
         self.commands.on_override = self.channel.send_override  # also while the state is being sent
         self.sending_state = True
+        self.proxy.on_new_id = self._tell_id
         self._send_state(self.channel, state.encode(self.proxy, self.discovery))
 
     def _send_state(self, channel: Channel, chunks: Iterator[str]) -> None:
@@ -205,9 +210,20 @@
         else:
             self._state_sent(channel)
 
+    def _tell_id(self, name: bytes, known_us: int) -> None:
+        """Tells the next process that this one has accepted a request that must run once."""
+        known: list[object] = [name.decode("latin-1"), known_us]
+        if self.sending_state:
+            self.unsent_ids.append(known)
+        elif self.channel is not None and self.channel.open:
+            self.channel.send({"t": "ids", "ids": [known]})
+
     def _state_sent(self, channel: Channel) -> None:
         self.sending_state = False
         channel.send({"t": "go"})
+        ids, self.unsent_ids = self.unsent_ids, []
+        for start in range(0, len(ids), IDS_PER_MESSAGE):
+            channel.send({"t": "ids", "ids": ids[start : start + IDS_PER_MESSAGE]})
         self.proxy.pool.close_all_idle()  # the two processes share the limit of descriptors
         self.sent_load = {}
         self.proxy.log("upgrade: handed over to the next process")
--- a/magpiefront/upgrade/state.py
+++ b/magpiefront/upgrade/state.py
@@ -12,6 +12,8 @@
 from magpiefront.net.proxy import Proxy
 from magpiefront.upgrade.json_chunks import json_chunks
 
+MAX_KNOWN_US = 3_600_000_000  # no id of the other process is kept longer; no class allows an hour
+
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
@@ -20,6 +22,7 @@
     discovery: Any = None  # the address of the discovery that sent the list
     server_list: Any = None  # in discovery's format
     view: Any = None  # the Router's state, see `magpiefront.router_state`
+    ids: Any = None  # of requests that may have run, see `known_ids`
 
 
 def encode(proxy: Proxy, discovery: Discovery) -> Iterator[str]:
@@ -28,6 +31,7 @@
     yield from json_chunks({
         "discovery": list(discovery.address), "list": discovery.listing.snapshot(),
         "view": router_state.export_state(proxy.router, proxy.now_us()),
+        "ids": [list(known) for known in proxy.known_ids()],
     })  # fmt: skip
 
 
@@ -39,7 +43,7 @@
         return HandoverState()
     if not isinstance(fields, dict):
         return HandoverState()
-    return HandoverState(fields.get("discovery"), fields.get("list"), fields.get("view"))
+    return HandoverState(fields.get("discovery"), fields.get("list"), fields.get("view"), fields.get("ids"))
 
 
 def initial_list(state: HandoverState, discovery: tuple[str, int], configured: Any) -> Any:
@@ -53,8 +57,19 @@
     return state.server_list
 
 
+def remember_ids(proxy: Proxy, ids: Any) -> None:
+    """Keeps the ids that the other process has sent: pairs of an id and the microseconds for which it is
+    known to run. Skips what has another form."""
+    now = proxy.now_us()
+    for known in ids if isinstance(ids, list) else ():
+        match known:
+            case [str(name), int(known_us)]:
+                proxy.ids.remember(name.encode("latin-1", "replace"), now + min(known_us, MAX_KNOWN_US))
+
+
 def restore(state: HandoverState, proxy: Proxy) -> None:
     """Restores the Router's state. Call it once the list is applied, as the state is about listed servers."""
+    remember_ids(proxy, state.ids)
     if state.view is None:
         return
     try:
--- a/tests/test_request_ids.py
+++ b/tests/test_request_ids.py
@@ -24,6 +24,14 @@
     assert not ids.is_full(200) and ids.knows(b"b", 250)
 
 
+def test_long_ids_take_no_more_memory_than_short_ones() -> None:
+    ids = RequestIds(2)
+    ids.remember(b"x" * 30_000, 100)
+    assert ids.knows(b"x" * 30_000, 50) and not ids.knows(b"x" * 29_999, 50)
+    [(kept, _)] = ids.snapshot(0)
+    assert len(kept) <= 64 and ids.knows(kept.encode("latin-1"), 50)
+
+
 async def leave(w: ProxyHarness, message: bytes) -> None:
     """Sends a request and closes the connection once a node has it."""
     client = await w.client()
--- a/tests/upgrade/test_process.py
+++ b/tests/upgrade/test_process.py
@@ -241,6 +241,61 @@
     run(main(), 40)
 
 
+def test_an_id_that_comes_again_at_the_other_process_of_an_upgrade_runs_once(tmp_path: Path) -> None:
+    """Covers ids from before the upgrade, and from both processes while the old one still serves."""
+
+    async def main() -> None:
+        holds, gate = [asyncio.Event(), asyncio.Event()], asyncio.Event()
+
+        async def held(
+            seen: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:  # fmt: skip
+            hold = holds[int(seen.line.split("/hold")[1][0])] if "/hold" in seen.line else gate
+            await gated(hold)(seen, reader, writer)
+
+        node = Node("s-0", held)
+
+        def begun() -> int:
+            return sum("/hold" not in seen.line for seen in node.seen)
+
+        async def leave(client: Client, message: bytes) -> None:
+            before = begun()
+            client.send(message)
+            await until(lambda: begun() > before)
+            client.writer.transport.abort()
+
+        async with fleet(tmp_path, node) as f:
+            messages = [request("PUT", kind="once", deadline="8", body=b"level") for _ in range(4)]
+            await f.start()
+            kept = [await f.client() for _ in holds]  # stay with the old process
+            for n, client in enumerate(kept):
+                client.send(request(path=f"/api/hold{n}", deadline="8"))
+            await until(lambda: len(node.seen) == 2)
+            for n in (1, 2):
+                await leave(await f.client(), messages[n])
+            await f.start()
+            kept[0].send(messages[0])
+            await asyncio.sleep(0.05)
+            holds[0].set()
+            assert (await kept[0].answer()).status == 200
+            await until(lambda: begun() == 3)
+            kept[0].writer.transport.abort()
+            await leave(await f.client(), messages[3])
+            await asyncio.sleep(0.1)
+            for n in range(3):
+                client = await f.client()
+                client.send(messages[n])
+                assert (await client.answer()).status == 409
+            kept[1].send(messages[0] + messages[3])
+            await asyncio.sleep(0.05)
+            holds[1].set()
+            assert [(await kept[1].answer()).status for _ in range(3)] == [200, 409, 409]
+            assert begun() == 4
+            gate.set()
+
+    run(main(), 40)
+
+
 def test_disabled_nodes_stay_disabled_across_upgrades_and_on_both_admin_addresses(tmp_path: Path) -> None:
     async def main() -> None:
         async with fleet(tmp_path) as f:
