--- a/magpiefront/interface.py
+++ b/magpiefront/interface.py
@@ -235,6 +235,15 @@
     attempt: int
 
 
+@dataclass(slots=True)
+class AnswerPaused:
+    """The server of an attempt has begun its answer and has then sent nothing for longer than servers usually
+    take. It may go on: it has not failed."""
+
+    request: str
+    attempt: int
+
+
 @dataclass(slots=True)
 class ClientLeft:
     """The client no longer waits for an answer from the Router: it has left, or its deadline has passed."""
@@ -283,8 +292,8 @@
 
 
 Event = (
-    ServerList | StopSending | Arrived | AttemptEnded | StreamBegan | ClientLeft | ProbeEnded | TimerFired
-    | Exclude | Include | PredecessorLoad
+    ServerList | StopSending | Arrived | AttemptEnded | StreamBegan | AnswerPaused | ClientLeft | ProbeEnded
+    | TimerFired | Exclude | Include | PredecessorLoad
 )  # fmt: skip
 
 
@@ -303,6 +312,14 @@
     begin_by_us: int = 0
 
 
+@dataclass(slots=True)
+class Abandon:
+    """End an attempt whose answer has paused, as a reset: another one is to take its place."""
+
+    request: str
+    attempt: int
+
+
 @dataclass(slots=True)
 class Cancel:
     """Cancel an attempt that is still in flight."""
@@ -362,4 +379,4 @@
     accepted: bool
 
 
-Action = Send | Cancel | Refuse | Fail | Probe | SetTimer | Watch | LogMessage | OperatorResult
+Action = Send | Abandon | Cancel | Refuse | Fail | Probe | SetTimer | Watch | LogMessage | OperatorResult
--- a/magpiefront/net/exchange.py
+++ b/magpiefront/net/exchange.py
@@ -13,7 +13,10 @@
 # The deadline sent to a node is shorter than the time left by this much, in microseconds (or by half of the
 # time left, if that is less): the request takes some of the time on its way to the node.
 DEADLINE_MARGIN_US = 25_000
-STREAM_STALL_S = 1.5  # a streamed answer fails if no more of it arrives for longer than this
+# A streamed answer has no deadline: it fails if no more of it arrives for STREAM_STALL_S, as a client is
+# closed that reads nothing for as long, and for STREAM_STALL_WHEN_FULL_S if its connection is needed.
+STREAM_STALL_S = 20.0
+STREAM_STALL_WHEN_FULL_S = 1.5
 
 
 class ExchangeConnection(Protocol):
@@ -28,6 +31,9 @@
     def pause(self) -> None: ...
     def resume(self) -> None: ...
 
+    def stream_if_arriving(self) -> bool:
+        """Begins to stream the answer if its body is arriving. Returns whether it did."""
+
 
 class ExchangeNode(Protocol):
     """The node that an exchange is sent to."""
@@ -51,6 +57,7 @@
         """Whether an attempt may time out now. False if its answer may have arrived but is not read yet."""
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None: ...
+    def answer_paused(self, attempt: Attempt) -> None: ...
     def stream_began(self, attempt: Attempt, answer: Answer) -> None: ...
     def stream_data(self, attempt: Attempt, body: bytes) -> None: ...
     def probed(self, probe: Probe, outcome: Outcome, answer: Answer | None) -> None: ...
@@ -150,7 +157,11 @@
         return [head, *request.body]
 
     def expire(self) -> None:
-        if not self.done and (not self.begun or self.host.may_time_out(self)):
+        """As above, but an answer that is arriving is streamed from here on: nothing better can come in what
+        time is left."""
+        if self.done or (self.begun and not self.host.may_time_out(self)):
+            return
+        if self.connection is None or self.streaming or not self.connection.stream_if_arriving():
             super().expire()
 
     def report(self, outcome: Outcome, answer: Answer | None) -> None:
@@ -199,13 +210,13 @@
         self.host.probed(self, outcome, answer)
 
 
-def stalled(attempt: Attempt, now: float) -> bool:
-    """Whether a node has stopped sending in the middle of a streamed answer, which has no other timeout.
-    `now` is the event loop's time."""
+def stalled(attempt: Attempt, now: float, limit_s: float) -> bool:
+    """Whether a node has sent nothing for longer than `limit_s` in the middle of a streamed answer, which has
+    no other timeout. `now` is the event loop's time."""
     connection = attempt.connection
     return (
         attempt.streaming
         and connection is not None
         and not connection.paused
-        and now - connection.last_data_at > STREAM_STALL_S
+        and now - connection.last_data_at > limit_s
     )
--- a/magpiefront/net/node_connection.py
+++ b/magpiefront/net/node_connection.py
@@ -18,9 +18,9 @@
 # An answer of unknown length that is not complete this long after its first body bytes is streamed to the
 # client.
 STREAM_AFTER_S = 0.05
-MAX_PAUSE_S = 0.25  # a longer pause within an answer fails the attempt; working nodes do not pause so long
-# After such a pause and before the attempt fails: a process that reads late may then find that more bytes of
-# the answer had already arrived.
+MAX_PAUSE_S = 0.25  # a longer pause within an answer is reported; most nodes that work do not pause so long
+# After such a pause and before it is reported: a process that reads late may then find that more bytes of the
+# answer had already arrived.
 RECHECK_S = 0.02
 
 
@@ -230,10 +230,10 @@
                 self.node.loop.call_later(MAX_PAUSE_S, self._check_pause, self.exchange, 0.0)
 
     def _check_pause(self, exchange: Exchange, rechecked: float) -> None:
-        """Fails an attempt whose node stops sending in the middle of an answer. It would otherwise wait for
-        the rest until the client's deadline, while another node could have answered long before.
+        """Reports a node that stops sending in the middle of an answer: another node could answer long before
+        the client's deadline. The attempt goes on, as the node may only be slow.
 
-        The attempt fails at a second check, `RECHECK_S` after the first one, if no data has been read between
+        The pause is reported at a second check, `RECHECK_S` after the first, if no data has been read between
         them. `rechecked` is the `last_data_at` of the first check, or 0.0 if this is the first one."""
         if self.exchange is not exchange or self.complete or self.streams:
             return
@@ -242,8 +242,23 @@
             self.node.loop.call_later(left_s + 0.001, self._check_pause, exchange, 0.0)
         elif rechecked != self.last_data_at:
             self.node.loop.call_later(RECHECK_S, self._check_pause, exchange, self.last_data_at)
-        else:
+        elif not isinstance(exchange, Attempt):
             self.fail()
+        elif self.answer.status >= 200 and not self.is_for_client(self.answer):
+            self._end_incomplete()
+        else:
+            exchange.host.answer_paused(exchange)
+
+    def stream_if_arriving(self) -> bool:
+        """Begins to stream the answer if its body is arriving. Returns whether it did."""
+        exchange, answer = self.exchange, self.answer
+        quiet_s = self.node.loop.time() - self.last_data_at
+        if not isinstance(exchange, Attempt) or self.in_head or not answer.size or quiet_s > MAX_PAUSE_S:
+            return False
+        if not self.is_for_client(answer) or not (self.framed or self.close_delimits):
+            return False
+        self._stream(exchange)
+        return exchange.streaming
 
     def _end_incomplete(self) -> None:
         """Ends an exchange whose answer can't be told from a truncated one, or is an error with too large a
--- a/magpiefront/net/pool.py
+++ b/magpiefront/net/pool.py
@@ -233,6 +233,11 @@
         if address is not None:
             self.nodes[name] = self.node_type(self, name, address)
 
+    @property
+    def is_full(self) -> bool:
+        """Whether no further connection can be opened, as all are busy."""
+        return self.open >= self.max_connections and not self.idle
+
     def make_room(self) -> bool:
         """Returns whether another connection may be opened. At the limit, closes the longest idle one to make
         room; returns False if none is idle."""
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -18,10 +18,11 @@
 from magpiefront import Router
 from magpiefront.hashing import bytes_hash
 from magpiefront.interface import (
-    NEVER_RAN, Action, Arrived, AttemptEnded, Cancel, ClientLeft, Event, Exclude, Fail, Include, LogMessage,
-    OperatorResult, Outcome, Probe, ProbeEnded, Refuse, RequestClass, Send, ServerList, SetTimer, StopSending,
-    TimerFired, Watch,
+    NEVER_RAN, Abandon, Action, AnswerPaused, Arrived, AttemptEnded, Cancel, ClientLeft, Event, Exclude, Fail,
+    Include, LogMessage, OperatorResult, Outcome, Probe, ProbeEnded, Refuse, RequestClass, Send, ServerList,
+    SetTimer, StopSending, TimerFired, Watch,
 )  # fmt: skip
+from magpiefront.net import exchange
 from magpiefront.net.answer import Answer, parse_load_report
 from magpiefront.net.config import Address, Config
 from magpiefront.net.events import EventLog, Reason
@@ -176,6 +177,10 @@
             case SetTimer():
                 delay_ms = action.delay_us // 1000 + 2
                 self.loop.call_later(delay_ms / 1000, self.dispatch, TimerFired(action.token))
+            case Abandon():
+                request = self.requests.get(action.request)
+                if request is not None and action.attempt < len(request.attempts):
+                    request.attempts[action.attempt].end(Outcome.RESET)
             case Cancel():
                 request = self.requests.get(action.request)
                 if request is not None and action.attempt < len(request.attempts):
@@ -474,6 +479,17 @@
         )  # fmt: skip
         self._drop_if_finished(request)
 
+    def answer_paused(self, attempt: Attempt) -> None:
+        """Tells the Router that a node has paused in the middle of an answer."""
+        self.events_log.emit(
+            "paused",
+            Reason.SLOW,
+            request=attempt.request.name,
+            node=attempt.node.name,
+            attempt=attempt.number,
+        )
+        self.dispatch(AnswerPaused(attempt.request.name, attempt.number))
+
     def stream_began(self, attempt: Attempt, answer: Answer) -> None:
         """Begins to pass on a long answer, whose head has been read. A request's latency counts up to the
         first bytes of its answer, so the outcome is reported to the Router now; it takes no part in the rest
@@ -556,8 +572,9 @@
         answer has stalled."""
         self.pool.sweep()
         now = self.loop.time()
+        limit_s = exchange.STREAM_STALL_WHEN_FULL_S if self.pool.is_full else exchange.STREAM_STALL_S
         for attempt in list(self.streams):
-            if stalled(attempt, now):
+            if stalled(attempt, now, limit_s):
                 self.events_log.emit(
                     "closed", Reason.STALLED, request=attempt.request.name, node=attempt.node.name
                 )
--- a/magpiefront/router.py
+++ b/magpiefront/router.py
@@ -18,9 +18,9 @@
 
 from magpiefront.hashing import nth_hash, splitmix64, text_hash, unit_interval
 from magpiefront.interface import (
-    NEVER_RAN, Action, Arrived, AttemptEnded, Cancel, ClientLeft, DedupScope, Event, Exclude, Fail,
-    Include, ListKind, LogMessage, OperatorResult, Outcome, PredecessorLoad, Probe, ProbeEnded, Refuse,
-    Repeat, RequestClass, Send, ServerEntry, ServerList, SetTimer, Settings, Status, StopSending,
+    NEVER_RAN, Abandon, Action, AnswerPaused, Arrived, AttemptEnded, Cancel, ClientLeft, DedupScope, Event,
+    Exclude, Fail, Include, ListKind, LogMessage, OperatorResult, Outcome, PredecessorLoad, Probe, ProbeEnded,
+    Refuse, Repeat, RequestClass, Send, ServerEntry, ServerList, SetTimer, Settings, Status, StopSending,
     StreamBegan, TimerFired, Watch, WeightSource,
 )  # fmt: skip
 from magpiefront.placement import Placement
@@ -143,12 +143,14 @@
 
 
 class Attempt:
-    """One sending of a request to a server. `outstanding`: it has not ended yet."""
+    """One sending of a request to a server. `outstanding`: it has not ended yet. `paused`: its server has
+    begun an answer and then paused for long."""
 
-    __slots__ = ("may_have_run", "outstanding", "sent_at", "server")
+    __slots__ = ("may_have_run", "outstanding", "paused", "sent_at", "server")
 
     def __init__(self, server: Server, now: int) -> None:
         self.server, self.sent_at, self.outstanding, self.may_have_run = server, now, True, True
+        self.paused = False
 
 
 class PendingRequest:
@@ -305,6 +307,8 @@
                 for name in event.servers:
                     self.placement.remove(name)
                     self.origin.pop(name, None)
+            case AnswerPaused():
+                self._on_answer_paused(now_us, event)
             case ProbeEnded():
                 self._on_probe_ended(now_us, event)
             case Exclude() | Include():
@@ -545,6 +549,26 @@
             else:
                 self._answer_unserved(pending)
 
+    def _on_answer_paused(self, now: int, event: AnswerPaused) -> None:
+        """Tries another server beside one that has paused within its answer. Where a request may not have two
+        attempts at once, the paused one is given up, but only the first time: a second server that pauses as
+        well shows that this answer is slow everywhere."""
+        pending = self.pending.get(event.request)
+        if pending is None or pending.done or not 0 <= event.attempt < len(pending.attempts):
+            return
+        attempt = pending.attempts[event.attempt]
+        paused_before = any(other.paused for other in pending.attempts)
+        attempt.paused = True
+        if not attempt.outstanding or pending.outstanding > 1 or now >= pending.expires_at:
+            return
+        if self._budget(pending) < CHEAP_RETRY_COST or not self._may_retry(now, pending):
+            return
+        if self.settings.hedging:
+            if self._start_attempt(now, pending):
+                self.retry_budget -= CHEAP_RETRY_COST
+        elif not paused_before and len(self.servers) > len(pending.attempts):
+            self.actions.append(Abandon(pending.name, event.attempt))
+
     def _may_retry(self, now: int, pending: PendingRequest) -> bool:
         executed, left = pending.first_executed(), len(pending.attempts) < pending.max_attempts
         keyed = pending.cls.repeat is Repeat.KEYED and now < self._retry_window_end(pending)
@@ -592,6 +616,8 @@
     ) -> None:
         """Updates health, latency, cached keys and the admission gates by an attempt's outcome."""
         outcome, server = event.outcome, attempt.server
+        if attempt.paused and outcome is Outcome.CANCELLED:
+            outcome = Outcome.RESET  # another server has answered while this one paused
         silent = outcome is Outcome.TIMEOUT and server.responded_at < attempt.sent_at
         failed = outcome in (Outcome.ERROR, Outcome.RESET, Outcome.FULL) or silent
         bad = failed or outcome is Outcome.TIMEOUT or now - attempt.sent_at > pending.cls.aim_us
--- a/magpiefront/wirehost.py
+++ b/magpiefront/wirehost.py
@@ -15,7 +15,7 @@
 
 from magpiefront.router import Router
 from magpiefront.interface import (
-    Action, Arrived, AttemptEnded, Cancel, ClientLeft, Event, Fail, ListKind, LogMessage,
+    Abandon, Action, Arrived, AttemptEnded, Cancel, ClientLeft, Event, Fail, ListKind, LogMessage,
     OperatorResult, Outcome, Probe, ProbeEnded, Refuse, Send, ServerEntry, ServerList, SetTimer, Status,
     StreamBegan, TimerFired, Watch,
 )  # fmt: skip
@@ -92,8 +92,8 @@
 
 
 def encode_action(instance: str, action: Action) -> Fields:
-    """Returns the simulator's message for an action of one instance. Raises ValueError for an OperatorResult,
-    which only an operator's call causes."""
+    """Returns the simulator's message for an action of one instance. Raises ValueError for an OperatorResult
+    and for Abandon, which only events cause that the simulator does not have."""
     match action:
         case Send():
             return {"TRANSMIT": {"i": instance, "req": action.request, "node": action.server,
@@ -110,8 +110,8 @@
             return {"POLL": {"i": instance, "node": action.server}}
         case Watch():
             return {"STREAM_CHANGES": {"i": instance, "active": True}}
-        case OperatorResult():
-            raise ValueError("the simulator has no operator calls")
+        case OperatorResult() | Abandon():
+            raise ValueError("the simulator has no operator calls, and its answers do not pause")
         case LogMessage():
             return {"REMARK": {"i": instance, "msg": action.text}}
 
