--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -17,7 +17,7 @@
 from magpiefront.net.message_size import BODY_SLICE_BYTES, SLICE_BYTES
 from magpiefront.net.metrics import Metrics
 from magpiefront.net.pipeline import MAX_PIPELINED_REQUESTS, hold_time_us
-from magpiefront.net.request import KEPT_FIELDS, METHODS, SINGLE_VALUED, Request, Stage
+from magpiefront.net.request import KEPT_FIELDS, METHODS, Request, Stage
 from magpiefront.net.socket_state import SocketState, since_last_data_s
 from magpiefront.net.turns import ReadTurns
 from magpiefront.request_ids import OnceRequest, must_run_once
@@ -396,10 +396,11 @@
 
     def _keep_field(self, name: bytes, value: bytes) -> None:
         """Stores a field line of the head."""
-        name, headers = name.lower(), self.incoming.headers
+        name = name.lower()
         if name in KEPT_FIELDS:
-            if name in headers and name in SINGLE_VALUED:
-                self.incoming.error = 400
+            headers = self.incoming.headers
+            if name in headers:
+                self.incoming.error = 400  # each of them may occur only once
             headers[name] = value
 
     def on_headers_complete(self) -> None:
--- a/magpiefront/router.py
+++ b/magpiefront/router.py
@@ -144,13 +144,13 @@
 
 class Attempt:
     """One sending of a request to a server. `outstanding`: it has not ended yet. `paused`: its server has
-    begun an answer and then paused for long."""
+    begun an answer and then paused for long. `started_at`: the start of the server that it was sent to."""
 
-    __slots__ = ("may_have_run", "outstanding", "paused", "sent_at", "server")
+    __slots__ = ("may_have_run", "outstanding", "paused", "sent_at", "server", "started_at")
 
     def __init__(self, server: Server, now: int) -> None:
         self.server, self.sent_at, self.outstanding, self.may_have_run = server, now, True, True
-        self.paused = False
+        self.paused, self.started_at = False, server.started_at
 
 
 class PendingRequest:
@@ -614,8 +614,11 @@
     def _record_outcome(
         self, now: int, pending: PendingRequest, attempt: Attempt, event: AttemptEnded
     ) -> None:
-        """Updates health, latency, cached keys and the admission gates by an attempt's outcome."""
+        """Updates health, latency, cached keys and the admission gates by an attempt's outcome. One that was
+        sent before the server's latest start says nothing about the process that runs there now."""
         outcome, server = event.outcome, attempt.server
+        if attempt.started_at != server.started_at:
+            return
         if attempt.paused and outcome is Outcome.CANCELLED:
             outcome = Outcome.RESET  # another server has answered while this one paused
         silent = outcome is Outcome.TIMEOUT and server.responded_at < attempt.sent_at
@@ -875,6 +878,7 @@
         if entry.started_at_us > server.started_at:
             server.started_at = entry.started_at_us
             server.warm_at = self._start_time(now, entry.started_at_us, event.kind) + self.settings.cold_us
+            server.latency_us, server.traffic_share, server.responded_at = 0.0, 1.0, 0
             self._clear_suspicion(server)
 
     def _start_time(self, now: int, started_at: int, kind: ListKind) -> int:
