--- /dev/null
+++ b/tests/test_crowd.py
@@ -0,0 +1,44 @@
+"""Difficult clients and nodes against one proxy process (`standins.crowd`): nothing here depends on speed."""
+
+from __future__ import annotations
+
+import argparse
+from pathlib import Path
+from typing import Any
+
+import uvloop
+
+from standins.crowd import play
+from standins.world import ROOT
+
+MEMORY_MB = 64  # the least that the settings accept
+
+
+def run_kind(name: str, folder: Path, clients: int = 100, seconds: float = 2.0) -> dict[str, Any]:
+    args = argparse.Namespace(
+        tree=ROOT, keep=folder, memory_mb=MEMORY_MB, sockets=1024, clients=clients, seconds=seconds
+    )
+    result = uvloop.run(play(name, args))
+    assert not result["crashed"] and result["peak_mb"] <= MEMORY_MB
+    return result
+
+
+def test_every_request_of_a_long_pipeline_is_answered(tmp_path: Path) -> None:
+    result = run_kind("pipeline", tmp_path)
+    assert result["missing"] == 0 and set(result["answers"]) <= {"200", "503"}
+
+
+def test_heads_of_many_short_fields_stay_within_the_memory_limit(tmp_path: Path) -> None:
+    run_kind("many_fields", tmp_path, clients=600)
+
+
+def test_clients_that_read_slowly_stay_within_the_memory_limit(tmp_path: Path) -> None:
+    run_kind("slow_readers", tmp_path, clients=500)
+
+
+def test_an_answer_that_trickles_is_passed_on_whole(tmp_path: Path) -> None:
+    assert run_kind("trickled_answers", tmp_path)["answers"] == {"200": 10}
+
+
+def test_no_returning_id_runs_twice(tmp_path: Path) -> None:
+    assert run_kind("returning_ids", tmp_path)["twice"] == 0
