--- a/magpiefront/net/request.py
+++ b/magpiefront/net/request.py
@@ -29,8 +29,20 @@
 METHODS = frozenset({b"GET", b"PUT"})
 READ_METHODS = frozenset({b"GET", b"HEAD"})
 # Cached, because the same few hosts and tenants recur: a look-up in a small table costs less than the match.
-is_host = lru_cache(256)(HOST.fullmatch)
-is_token = lru_cache(256)(TOKEN.fullmatch)
+# Long values are not: clients could fill the tables with them.
+MAX_CACHED_BYTES = 256
+cached_host = lru_cache(256)(HOST.fullmatch)
+cached_token = lru_cache(256)(TOKEN.fullmatch)
+
+
+def is_host(value: bytes) -> bool:
+    """Whether this is a valid value of `Host` (RFC 9110, 7.2)."""
+    return (cached_host if len(value) <= MAX_CACHED_BYTES else HOST.fullmatch)(value) is not None
+
+
+def is_token(value: bytes) -> bool:
+    """Whether this is a token (RFC 9110, 5.6.2)."""
+    return (cached_token if len(value) <= MAX_CACHED_BYTES else TOKEN.fullmatch)(value) is not None
 
 
 class AttemptHandle(Protocol):
--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -13,12 +13,13 @@
 import json
 import os
 import resource
+import subprocess
 import sys
 import tempfile
 import time
 from collections import Counter
-from collections.abc import Awaitable, Callable
-from contextlib import suppress
+from collections.abc import Awaitable, Callable, Iterator
+from contextlib import contextmanager, suppress
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
@@ -468,17 +469,33 @@
     return {"begun late": late}
 
 
+@contextmanager
+def busy_core(process_id: int, count: int) -> Iterator[None]:
+    """Pins a process to one core of this machine, together with `count` processes that keep it busy."""
+    core = max(os.sched_getaffinity(0))
+    busy = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(count)]
+    try:
+        for pid in (process_id, *(other.pid for other in busy)) if count else ():
+            os.sched_setaffinity(pid, {core})
+        yield
+    finally:
+        for other in busy:
+            other.kill()
+            other.wait()
+
+
 async def play(name: str, args: argparse.Namespace) -> dict[str, Any]:
     """Plays one kind against a fresh process and returns what was counted."""
     with tempfile.TemporaryDirectory(prefix="crowd-") as folder:
         rig = Rig(args.tree.resolve(), args.keep or Path(folder), args.memory_mb, args.sockets)
         await rig.start()
+        assert rig.process is not None
         try:
             at_rest = rig.status("VmRSS")
-            good = asyncio.create_task(rig.good_requests(args.seconds))
-            counted = await KINDS[name](rig, args.clients, args.seconds)
-            await good
-            assert rig.process is not None
+            with busy_core(rig.process.pid, args.busy):
+                good = asyncio.create_task(rig.good_requests(args.seconds))
+                counted = await KINDS[name](rig, args.clients, args.seconds)
+                await good
             crashed = rig.process.returncode is not None
             times = sorted(rig.good_times)
             return {
@@ -500,6 +517,7 @@
     parser.add_argument("--memory-mb", type=int, default=192)
     parser.add_argument("--sockets", type=int, default=1024)
     parser.add_argument("--seconds", type=float, default=6.0)
+    parser.add_argument("--busy", type=int, default=0, help="processes that share the proxy's core")
     parser.add_argument("--keep", type=Path, default=None, help="folder in which the proxy's log is kept")
     args = parser.parse_args()
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -20,7 +20,7 @@
 from magpiefront.net.http1 import PARSER_ERRORS, HeadTooLong
 from magpiefront.net.metrics import Metrics
 from magpiefront.net.pipeline import MAX_PIPELINED_REQUESTS
-from magpiefront.net.request import Request
+from magpiefront.net.request import Request, cached_host, cached_token
 from magpiefront.net.turns import ReadTurns
 from magpiefront.request_ids import OnceRequest
 from tests.sockets import ok, reply, request, run, running_proxy
@@ -296,3 +296,16 @@
     connect(front).data_received(request(more=fields(50, 10)))
     assert len(front.taken[0].headers) == OWN_FIELDS - 1 + 1
     assert front.memory.used > 50 * 10
+
+
+def test_long_names_from_clients_are_not_kept_in_tables() -> None:
+    statuses([request()])
+    before = (cached_host.cache_info().currsize, cached_token.cache_info().currsize)
+    long = "n" * 2000
+    for n in range(50):
+        message = request(more=f"Req-Retry: {long}{n}\r\n").replace(b"Host: x", f"Host: {long}{n}".encode())
+        assert statuses([message]) == [200]
+    assert (cached_host.cache_info().currsize, cached_token.cache_info().currsize) == before
+    for n in range(400):
+        statuses([request().replace(b"Host: x", b"Host: h%d" % n)])
+    assert cached_host.cache_info().currsize <= 256
