--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -104,9 +104,7 @@
         self.queued: deque[Request] = deque()
         self.excess_requests = 0  # requests beyond MAX_PIPELINED_REQUESTS, which get a 503 each
         self.closing = self.lingering = self.chunked = self.continuing = False
-        self.refusing_excess = (
-            False  # requests that are parsed now get a 503: they were held back long enough
-        )
+        self.refusing_excess = False  # requests that are parsed now were held back too long: they get a 503
         self.reading = self.writable = True
         self.served = False  # whether a request was served
         self.unconfirmed: OnceRequest | None = None  # answered last, and the client has sent nothing since
