--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -339,6 +339,13 @@
             self.last_progress_at = self.front.loop.time()
             self._update_reading()
 
+    def close_for_room(self) -> None:
+        """Closes the connection at once, to free its descriptor."""
+        if self.unsent:
+            self.abort_unread()  # a close would wait until the client has read its answers
+        else:
+            self.transport.close()
+
     def abort_unread(self) -> None:
         """Closes a connection whose client does not read its answers, and frees their memory."""
         self._set_unsent(0)
--- a/magpiefront/net/front.py
+++ b/magpiefront/net/front.py
@@ -178,7 +178,7 @@
         )  # fmt: skip
         for _, c in chosen:
             self.clients.pop(c)
-            c.transport.close()  # at once, to free its descriptor; no answer is waiting to be sent on it
+            c.close_for_room()
         return bool(found)
 
     def relieve_answers(self) -> None:
--- a/tests/test_client_memory.py
+++ b/tests/test_client_memory.py
@@ -75,6 +75,28 @@
     run(main())
 
 
+def test_clients_that_do_not_read_overdue_answers_make_room_for_others() -> None:
+    async def main() -> None:
+        async with running_proxy(reply(ok(b"x" * 60_000))) as w:
+            w.front.max_clients = 4
+            slow = [await w.client() for _ in range(4)]
+            for client in slow:
+                client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+                client.send(b"".join(request(deadline="30") for _ in range(200)))
+            await until(lambda: all(c.unsent for c in w.front.clients), "the filling of all buffers")
+            transports = [c.transport for c in w.front.clients]
+            assert all(c.eviction_rank(w.proxy.loop.time()) is None for c in w.front.clients)
+            for c in w.front.clients:
+                c.answer_due_us = 0
+            assert (await w.ask()).status == 200
+            await until(lambda: any(t.get_extra_info("socket").fileno() < 0 for t in transports), "a close")
+            for client in slow:
+                client.writer.transport.abort()
+            await until(lambda: not w.front.memory.unsent)
+
+    run(main())
+
+
 def test_clients_that_do_not_read_are_closed_when_their_answers_exceed_the_limit() -> None:
     async def main() -> None:
         async with running_proxy(reply(ok(b"x" * 60_000))) as w:
