--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -428,7 +428,7 @@
 @kind
 async def returning_ids(rig: Rig, clients: int, seconds: float) -> dict[str, Any]:
     """Unsafe requests whose clients leave after 0.1 s and send the same id again 0.05 s later."""
-    names = [f"back{n}" for n in range(100)]
+    names = [f"back{n}" for n in range(clients)]
     results: Counter[str] = Counter()
 
     async def one(name: str) -> None:
@@ -443,30 +443,46 @@
         results[str(await rig.status_of(reader))] += 1
         writer.close()
 
-    for start in range(0, len(names), 10):
-        await asyncio.gather(*(one(name) for name in names[start : start + 10]))
+    for start in range(0, len(names), 20):
+        await asyncio.gather(*(one(name) for name in names[start : start + 20]))
     await asyncio.sleep(0.5)
     return {"answers": results, "twice": sum(rig.log.begun[name] > 1 for name in names)}
 
 
+WAYS_TO_LEAVE = ("close", "reset", "half close")
+
+
+async def leave_after(rig: Rig, number: int) -> int:
+    """Writes 60 requests, leaves after up to 0.06 s in one of WAYS_TO_LEAVE, and returns how many of the
+    requests began more than 0.1 s after that. Every other client reads nothing of long answers, and every
+    third ends with half a request."""
+    way, size = WAYS_TO_LEAVE[number % 3], (3_000, 60_000)[number // 3 % 2]
+    names = [f"leaves{number}-{n}" for n in range(60)]
+    reader, writer = await asyncio.open_connection("127.0.0.1", rig.port, limit=2048)
+    writer.write(b"".join(rig.head(query=f"work=0.02&size={size}", name=name) for name in names))
+    if number % 9 < 3:
+        writer.write(rig.head(name=f"half{number}")[:40])
+    await asyncio.sleep(0.01 * (number % 7))
+    if way == "half close":
+        writer.write_eof()
+    elif way == "reset":
+        writer.transport.abort()
+    else:
+        writer.close()
+    left_at = time.monotonic()
+    await asyncio.sleep(0.2)
+    writer.transport.abort()
+    return sum(rig.log.begun_at.get(name, 0) > left_at + 0.1 for name in names)
+
+
 @kind
 async def leaving_clients(rig: Rig, clients: int, seconds: float) -> dict[str, Any]:
-    """Clients that write 60 requests and close at once or after some answers. Counts requests that begin more
-    than 0.1 s after the close."""
+    """Clients that write many requests and leave, ten at a time. Counts requests that begin more than 0.1 s
+    after their client has left."""
     late = 0
-    for turn in range(50):
-        reader, writer = await rig.connect()
-        names = [f"leaves{turn}-{n}" for n in range(60)]
-        writer.write(b"".join(rig.head(query="work=0.02&size=3000", name=name) for name in names))
-        await asyncio.sleep(0.01 * (turn % 7))
-        if turn % 2:
-            writer.transport.abort()
-        else:
-            writer.close()
-        closed_at = time.monotonic()
-        await asyncio.sleep(0.15)
-        late += sum(rig.log.begun_at.get(name, 0) > closed_at + 0.1 for name in names)
-    return {"begun late": late}
+    for start in range(0, clients, 10):
+        late += sum(await asyncio.gather(*(leave_after(rig, start + n) for n in range(10))))
+    return {"left": clients, "begun late": late}
 
 
 @contextmanager
