--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -89,11 +89,11 @@
 
     methods = METHODS
     allow = b"Allow: GET, PUT\r\n"
-    __slots__ = ("answer_due_us", "body_left", "chunked", "closing", "continuing", "excess_requests", "front",
-                 "held", "hold_timer", "incoming", "last_progress_at", "lingering", "max_unread_us",
-                 "message_began_at", "number", "paused_at_us", "pipelines", "queued", "read_at_us", "reading",
-                 "refusing_excess", "request", "served", "size", "socket_state", "unconfirmed", "unparsed",
-                 "unsent", "writable")  # fmt: skip
+    __slots__ = ("answer_due_us", "backlog_since_us", "body_left", "chunked", "closing", "continuing",
+                 "excess_requests", "front", "held", "hold_timer", "incoming", "last_progress_at",
+                 "lingering", "max_unread_us", "message_began_at", "number", "paused_at_us", "pipelines",
+                 "queued", "read_at_us", "reading", "refusing_excess", "request", "served", "size",
+                 "socket_state", "unconfirmed", "unparsed", "unsent", "writable")  # fmt: skip
 
     def __init__(self, front: ConnectionOwner, number: int = 0) -> None:
         super().__init__()
@@ -114,6 +114,8 @@
         # The longest time (microseconds) for which the next bytes may have waited unread, because the
         # connection waited to be accepted or its reading was paused; and when it was paused.
         self.max_unread_us = self.paused_at_us = 0
+        # Since when (microseconds) the queue has been full and more has waited to be read; 0: nothing waits.
+        self.backlog_since_us = 0
         self.read_at_us = 0  # when the bytes that are parsed now arrived
         self.answer_due_us = 0  # the deadline of the request that was answered last
         self.size: int = 0  # of the body that is being read, in bytes
@@ -220,9 +222,11 @@
         if self.closing:
             return
         self.read_at_us = self.front.runtime.now_us()
-        if self.max_unread_us:
+        if self.backlog_since_us:
+            self._count_from_backlog()
+        elif self.max_unread_us:
             self.read_at_us -= min(self.max_unread_us, int(since_last_data_s(self.transport) * 1e6))
-            self.max_unread_us = 0
+        self.max_unread_us = 0
         if self.unparsed or len(data) > SLICE_BYTES or len(self.queued) >= MAX_PIPELINED_REQUESTS:
             self.unparsed += bytes(data)
             if self.parse_turn():
@@ -232,6 +236,16 @@
         self._parse(data)
         self._after_parsing()
 
+    def _count_from_backlog(self) -> None:
+        """Lets the time of what was read count from when the queue was first full: the client may have
+        written it by then, and its own machine may have held it back. Ends that once nothing more waits."""
+        self.read_at_us = self.backlog_since_us
+        if not self._queue_full() and not self._socket_state().readable():
+            self.backlog_since_us = 0
+
+    def _queue_full(self) -> bool:
+        return self.excess_requests > 0 or len(self.queued) >= MAX_PIPELINED_REQUESTS
+
     def parse_turn(self) -> bool:
         """Parses a bounded part of `unparsed`. Returns whether to call it again in a later turn."""
         for _ in range(MAX_SLICES_PER_TURN):
@@ -320,7 +334,7 @@
         memory = self.front.memory
         if self.reading and not self.unparsed and not self.queued and memory.used <= memory.limit:
             return  # the common case, without further checks
-        full = self.excess_requests > 0 or len(self.queued) >= MAX_PIPELINED_REQUESTS
+        full = self._queue_full()
         may_read = (
             not self.unparsed and not (full and self.request is not None) and not memory.must_pause(self)
         )
@@ -328,9 +342,13 @@
             self.reading = may_read
             if may_read:
                 self.max_unread_us = self.front.runtime.now_us() - self.paused_at_us
+                if self.backlog_since_us and not self._socket_state().readable():
+                    self.backlog_since_us = 0
                 self.transport.resume_reading()
             else:
                 self.paused_at_us = self.front.runtime.now_us()
+                if full and not self.backlog_since_us:
+                    self.backlog_since_us = self.paused_at_us
                 self.transport.pause_reading()
 
     def resume_reading(self) -> None:
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -21,6 +21,7 @@
 from magpiefront.net.metrics import Metrics
 from magpiefront.net.pipeline import MAX_PIPELINED_REQUESTS
 from magpiefront.net.request import Request, cached_host, cached_token
+from magpiefront.net.socket_state import SocketState
 from magpiefront.net.turns import ReadTurns
 from magpiefront.request_ids import OnceRequest
 from tests.sockets import ok, reply, request, run, running_proxy
@@ -94,6 +95,16 @@
         return None
 
 
+class FakeSocketState:
+    """A socket from which there is more to read, or not."""
+
+    def __init__(self, waiting: bool) -> None:
+        self.waiting = waiting
+
+    def readable(self) -> bool:
+        return self.waiting
+
+
 class FakeFront:
     """A front and its stage, which answers each request at once unless `slow` is set."""
 
@@ -129,6 +140,7 @@
     """A connection of this front over a FakeTransport."""
     client = ClientConnection(front, 1)
     client.connection_made(cast(asyncio.BaseTransport, FakeTransport()))
+    client.socket_state = cast(SocketState, FakeSocketState(False))
     return client
 
 
@@ -309,3 +321,24 @@
     for n in range(400):
         statuses([request().replace(b"Host: x", b"Host: h%d" % n)])
     assert cached_host.cache_info().currsize <= 256
+
+
+@pytest.mark.parametrize("waiting", [True, False])
+def test_time_counts_from_when_the_queue_was_full_if_more_waited_unread(waiting: bool) -> None:
+    front = FakeFront()
+    front.slow = True
+    client = connect(front)
+    client.socket_state = cast(SocketState, FakeSocketState(waiting))
+    client.data_received(b"".join(request(deadline="30") for _ in range(60)))
+    front.loop.run_all()
+    assert not cast(FakeTransport, client.transport).reading
+    full_at = front.now_us()
+    front.loop.now_s += 5
+    front.slow = False
+    front.taken[0].responder.answer(front.taken[0], 200)
+    front.loop.run_all()
+    assert cast(FakeTransport, client.transport).reading and written(client).count(b" 200 ") == 60
+    for received_at in (full_at if waiting else front.now_us(), front.now_us()):
+        cast(FakeSocketState, client.socket_state).waiting = False
+        client.data_received(request())
+        assert front.taken[-1].received_at == received_at
