--- a/magpiefront/net/node_connection.py
+++ b/magpiefront/net/node_connection.py
@@ -41,6 +41,8 @@
 
     name: str
 
+    @property
+    def read_buffer(self) -> memoryview: ...
     @property
     def loop(self) -> asyncio.AbstractEventLoop: ...
     def clock(self) -> float: ...
@@ -190,7 +192,16 @@
             self.written = True
             self.exchange.fully_sent()
 
-    def data_received(self, data: bytes) -> None:
+    def get_buffer(self, size_hint: int) -> memoryview:
+        """The buffer that the event loop reads into (`asyncio.BufferedProtocol`): one for all connections,
+        which bounds what one read returns."""
+        return self.node.read_buffer
+
+    def buffer_updated(self, size: int) -> None:
+        """`size` bytes have been read into the buffer."""
+        self.data_received(self.node.read_buffer[:size])
+
+    def data_received(self, data: bytes | memoryview) -> None:
         if self.exchange is None:
             reason = self.lifecycle.stray_reason()
             if reason is not None:
--- a/magpiefront/net/pool.py
+++ b/magpiefront/net/pool.py
@@ -28,6 +28,9 @@
     return connection.lifecycle.answered_at
 
 
+READ_BUFFER_BYTES = 32 * 1024  # the most that one read of a connection to a node returns
+
+
 class Node:
     """A cache node at one address, and the connections to it."""
 
@@ -48,6 +51,10 @@
         """Whether no new exchange may begin on this node."""
         return self.retired or self.excluded
 
+    @property
+    def read_buffer(self) -> memoryview:
+        return self.pool.read_buffer
+
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
         return self.pool.loop
@@ -207,6 +214,7 @@
         self, loop: asyncio.AbstractEventLoop, max_connections: int, connect_us: int, idle_us: int
     ) -> None:
         self.loop, self.max_connections, self.open = loop, max_connections, 0
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self.clock: Callable[[], float] = time.monotonic
         self.rest = RestPolicy()
         self.counters = PoolCounters()
--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -307,6 +307,22 @@
     return {}
 
 
+@kind
+async def slow_streams(rig: Rig, clients: int, seconds: float) -> dict[str, Any]:
+    """Clients that ask for 300 KB each, which are passed on while they arrive, and read 2 KB every 0.5 s."""
+
+    async def one() -> None:
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port, limit=2048)
+        writer.write(rig.head(query="size=300000"))
+        for _ in range(int(2 * seconds)):
+            await reader.read(2048)
+            await asyncio.sleep(0.5)
+        writer.transport.abort()
+
+    await crowd(one, clients)
+    return {}
+
+
 async def flood(rig: Rig, seconds: float, message: Callable[[int], bytes]) -> dict[str, Any]:
     """Sends messages on one connection as fast as they are taken, and reads the answers."""
     reader, writer = await rig.connect()
