--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -349,8 +349,16 @@
                 self.paused_at_us = self.front.runtime.now_us()
                 if full and not self.backlog_since_us:
                     self.backlog_since_us = self.paused_at_us
+                if full or not self.unparsed:  # not for the turns of others, which come and go
+                    self._log_pause(Reason.QUEUE if full else Reason.MEMORY)
                 self.transport.pause_reading()
 
+    def _log_pause(self, reason: Reason) -> None:
+        self.front.runtime.events_log.emit(
+            "paused", reason, connection=self.number, held=self.held, queued=len(self.queued),
+            unparsed=len(self.unparsed),
+        )  # fmt: skip
+
     def resume_reading(self) -> None:
         """Called when requests take less memory again (see `ClientMemory`)."""
         if not self.lingering:
