--- a/magpiefront/net/node_connection.py
+++ b/magpiefront/net/node_connection.py
@@ -62,8 +62,8 @@
     for another exchange.
     """
 
-    __slots__ = ("detached", "exchange", "last_data_at", "last_target", "lifecycle", "node", "number",
-                 "pause_watched", "paused", "socket_state", "streams", "written")  # fmt: skip
+    __slots__ = ("body_reads", "detached", "exchange", "last_data_at", "last_target", "lifecycle", "node",
+                 "number", "pause_watched", "paused", "socket_state", "streams", "written")  # fmt: skip
 
     def __init__(self, node: ConnectionOwner, exchange: Exchange, number: int = 0) -> None:
         super().__init__()
@@ -71,6 +71,7 @@
         self.exchange: Exchange | None = exchange
         self.lifecycle = ConnectionLifecycle()
         self.written = self.paused = self.pause_watched = self.streams = self.detached = False
+        self.body_reads = 0  # how often a part of the answer's body was read while more was to come
         self.last_data_at = 0.0  # loop time at which more of the answer was last read
         self.last_target = b""  # target of the request that was answered last
         self.socket_state: SocketState | None = None
@@ -90,6 +91,7 @@
         self.lifecycle.begin_request()
         self.expect_answer()
         self.written = self.pause_watched = self.streams = False
+        self.body_reads = 0
         self.transport.writelines(exchange.message())
         if not self.transport.get_write_buffer_size() and not self.transport.is_closing():
             self.written = True
@@ -236,6 +238,7 @@
             self._end_incomplete()
         elif (answer.status or self.has_partial_message) and self.exchange is not None:
             self.last_data_at = self.node.loop.time()
+            self.body_reads += answer.size > 0
             if not self.pause_watched:
                 self.pause_watched = True
                 self.node.loop.call_later(MAX_PAUSE_S, self._check_pause, self.exchange, 0.0)
@@ -264,8 +267,8 @@
         """Begins to stream the answer if its body is arriving. Returns whether it did."""
         exchange, answer = self.exchange, self.answer
         quiet_s = self.node.loop.time() - self.last_data_at
-        if not isinstance(exchange, Attempt) or self.in_head or not answer.size or quiet_s > MAX_PAUSE_S:
-            return False
+        if not isinstance(exchange, Attempt) or self.body_reads < 2 or quiet_s > MAX_PAUSE_S:
+            return False  # a body that came at once and stopped may never go on
         if not self.is_for_client(answer) or not (self.framed or self.close_delimits):
             return False
         self._stream(exchange)
--- a/tests/test_slow_nodes.py
+++ b/tests/test_slow_nodes.py
@@ -73,6 +73,15 @@
     run(main())
 
 
+def test_an_answer_that_stopped_is_not_begun_at_its_deadline() -> None:
+    async def main() -> None:
+        start = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"
+        async with running_proxy(reply(start)) as w:
+            assert (await w.ask(deadline="0.1")).status in (503, 504)
+
+    run(main())
+
+
 def test_a_quiet_stream_goes_on_unless_its_connection_is_needed() -> None:
     async def main() -> None:
         start = b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 100_000
