--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -246,6 +246,13 @@
     def _queue_full(self) -> bool:
         return self.excess_requests > 0 or len(self.queued) >= MAX_PIPELINED_REQUESTS
 
+    def _queue_must_shrink(self) -> bool:
+        """Whether nothing more is read until requests of the queue are answered. Once requests have been held
+        back for long enough, further ones are read to be refused in time."""
+        if not self._queue_full():
+            return False
+        return not self.writable or (self.request is not None and self._holds_back())
+
     def parse_turn(self) -> bool:
         """Parses a bounded part of `unparsed`. Returns whether to call it again in a later turn."""
         for _ in range(MAX_SLICES_PER_TURN):
@@ -297,6 +304,7 @@
     def _end_hold(self) -> None:
         self.hold_timer = None
         self._parse_on()
+        self._update_reading()
 
     def _parse_on(self) -> None:
         """Goes on parsing if that was held back."""
@@ -334,10 +342,8 @@
         memory = self.front.memory
         if self.reading and not self.unparsed and not self.queued and memory.used <= memory.limit:
             return  # the common case, without further checks
-        full = self._queue_full()
-        may_read = (
-            not self.unparsed and not (full and self.request is not None) and not memory.must_pause(self)
-        )
+        full = self._queue_must_shrink()
+        may_read = not self.unparsed and not full and not memory.must_pause(self)
         if may_read != self.reading and not self.transport.is_closing():
             self.reading = may_read
             if may_read:
