--- a/magpiefront/net/socket_state.py
+++ b/magpiefront/net/socket_state.py
@@ -48,21 +48,26 @@
 
 
 class SocketState:
-    """Polls one connected socket without waiting."""
+    """Polls one connected socket without waiting. A transport whose socket is gone already, although it does
+    not say that it is closing, counts as closed by the peer."""
 
-    __slots__ = ("_poll", "_socket")
+    __slots__ = ("_gone", "_poll", "_socket")
 
     def __init__(self, transport: asyncio.BaseTransport) -> None:
         self._socket = transport.get_extra_info("socket")
         self._poll = select.poll()
-        self._poll.register(self._socket.fileno(), select.POLLIN | select.POLLRDHUP)
+        self._gone = self._socket is None or self._socket.fileno() < 0
+        if not self._gone:
+            self._poll.register(self._socket.fileno(), select.POLLIN | select.POLLRDHUP)
 
     def readable(self) -> bool:
         """Whether there is anything that the event loop has not read: bytes or the end of the stream."""
-        return bool(self._poll.poll(0))
+        return self._gone or bool(self._poll.poll(0))
 
     def closed(self) -> bool:
         """Whether the peer has closed or reset the connection, or shut down its sending side."""
+        if self._gone:
+            return True
         events = self._poll.poll(0)
         if not events:
             return False
--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -48,6 +48,7 @@
 
     begun: Counter[str] = field(default_factory=Counter)
     begun_at: dict[str, float] = field(default_factory=dict)
+    malformed: int = 0  # messages without a request line
 
 
 async def serve_node(log: NodeLog, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -58,6 +59,9 @@
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
             first, *lines = head[:-4].split("\r\n")
+            if len(first.split(" ")) != 3:
+                log.malformed += 1
+                break
             headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
             query = {k: float(v[0]) for k, v in parse_qs(urlsplit(first.split(" ")[1]).query).items()}
             left = int(headers.get("content-length", 0))
@@ -533,7 +537,8 @@
             return {
                 "kind": name, "good": rig.good, "p50_s": round(times[len(times) // 2], 3),
                 "p99_s": round(times[-1 - len(times) // 100], 3), "at_rest_mb": at_rest,
-                "peak_mb": rig.status("VmHWM") if not crashed else None, "crashed": crashed, **counted,
+                "peak_mb": rig.status("VmHWM") if not crashed else None, "crashed": crashed,
+                "malformed": rig.log.malformed, **counted,
             }  # fmt: skip
         finally:
             await rig.stop()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,6 +16,7 @@
 from magpiefront.net.exchange import DEADLINE_MARGIN_US, Exchange
 from magpiefront.net.node_connection import NodeConnection
 from magpiefront.net.pool import Node as PoolNode
+from magpiefront.net.socket_state import SocketState
 from standins.world import free_port
 from tests.sockets import (
     PROXY_SETTINGS, Client, DiscoveryServer, Handler, Node, ReceivedRequest, ProxyHarness, gated, ok, request,
@@ -532,3 +533,8 @@
             assert (answer.status, answer.headers["connection"]) == (200, "close")
 
     run(main())
+
+
+def test_a_transport_without_a_socket_counts_as_closed() -> None:
+    state = SocketState(asyncio.BaseTransport())  # `get_extra_info` returns None
+    assert state.readable() and state.closed()
