--- a/magpiefront/__main__.py
+++ b/magpiefront/__main__.py
@@ -85,7 +85,7 @@
         trace.install(proxy)
     loop.set_exception_handler(lambda _, context: proxy.log(callback_error(context)))
     front = Front(
-        proxy, first_stage, memory, settings.sockets - RESERVED_DESCRIPTORS - proxy.max_node_connections
+        proxy, first_stage, memory, settings.sockets - RESERVED_DESCRIPTORS - proxy.node_descriptors
     )
     proxy.slowest_connection = front.turns.take_slowest
     front.answer_unconfirmed = proxy.remember_id
@@ -150,7 +150,8 @@
         await asyncio.sleep(START_POLL_S)
     if state is not None:
         upgrade_state.restore(state, proxy)
-    if not memory.fit(settings.memory_mb << 20, resident_bytes(), front.max_clients):
+    limit = settings.memory_mb << 20
+    if not memory.fit(limit, resident_bytes(), front.max_clients, proxy.max_node_connections):
         proxy.log(
             f"limits.memory_mb = {settings.memory_mb} is too little for this list of nodes: "
             f"{resident_bytes() >> 20} MB are in use before the first client; clients may exceed the limit"
--- a/magpiefront/net/client_memory.py
+++ b/magpiefront/net/client_memory.py
@@ -10,7 +10,9 @@
 from typing import Protocol
 
 REQUEST_SHARE, ANSWER_SHARE = 0.25, 0.2  # of the process's memory limit
-CONNECTION_COST_BYTES = 12 * 1024  # memory of a connection besides what it holds: objects, parser, transport
+# Memory of a client's connection besides what is counted: objects, parser, transport, up to 8 KiB of answers.
+CONNECTION_COST_BYTES = 20 * 1024
+NODE_CONNECTION_COST_BYTES = 64 * 1024  # an answer that is still being read (`MAX_BUFFERED_BYTES`)
 # Below this much for requests or for answers, a process would refuse work that every deployment has.
 MIN_SHARE_BYTES = 4 * 1024 * 1024
 
@@ -41,12 +43,13 @@
         self.exempt: Holder | None = None
         self.paused: dict[Holder, None] = {}
 
-    def fit(self, memory_bytes: int, at_rest_bytes: int, connections: int) -> bool:
+    def fit(self, memory_bytes: int, at_rest_bytes: int, connections: int, node_connections: int) -> bool:
         """Sets the limits for a process that may take `memory_bytes` and takes `at_rest_bytes` before its
-        first client, with at most that many connections. Returns whether there is room enough: if not, the
-        limits are the least that a process can work with."""
+        first client, with at most that many connections of clients and to nodes. Returns whether there is
+        room enough: if not, the limits are the least that a process can work with."""
         shares = (REQUEST_SHARE, ANSWER_SHARE)
         free = memory_bytes - at_rest_bytes - connections * CONNECTION_COST_BYTES
+        free -= node_connections * NODE_CONNECTION_COST_BYTES
         parts = [min(int(memory_bytes * share), int(free * share / sum(shares))) for share in shares]
         self.limit, self.answer_limit = (max(MIN_SHARE_BYTES, part) for part in parts)
         return min(parts) >= MIN_SHARE_BYTES
--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -30,6 +30,7 @@
 MIN_EVICTION_STALL_S = 0.5  # the same for a client that has sent part of a body
 STALL_TIMEOUT_S = 20.0  # for a complete body, and for a client that does not read its answer
 LINGER_TIMEOUT_S = 1.5  # how long a closed connection is read from, so that no RST destroys its last answer
+MAX_UNCOUNTED_BYTES = 8 * 1024  # of unread answers on a connection; more counts, and pauses its answers
 MAX_LATENESS_US = 500_000  # after its deadline, an answer is of no use to its client
 MAX_SLICES_PER_TURN = 4  # fed to the parser in one turn of the event loop, for one connection
 MAX_ANSWERS_PER_TURN = 16  # given without a stage (`/ready`, errors) in one turn, on one connection
@@ -164,7 +165,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.transport.set_write_buffer_limits(high=64 * 1024)
+        self.transport.set_write_buffer_limits(high=MAX_UNCOUNTED_BYTES)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.front.client_lost(self)
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -42,6 +42,9 @@
 # Rate limit of the log: maximum number of lines per period, and the length of a period in seconds. It keeps a
 # repeated message from flooding standard error.
 MAX_LOG_LINES, LOG_PERIOD_S = 20, 10.0
+# Each connection to a node may hold 64 KiB of an answer that is still being read (`MAX_BUFFERED_BYTES`): in
+# all a quarter of the memory that a process has besides what it takes at rest.
+AT_REST_MB, NODE_CONNECTIONS_PER_MB = 32, 4
 LONG_TURN_S = 0.05  # event loop lag above which a `turn` event is logged
 SLICE_PAUSE_S = 0.002  # between two slices of long work while requests are open
 SLICE_PAUSE_BEHIND_S = 0.01  # between two slices of long work while requests are shed for loop lag
@@ -80,7 +83,9 @@
         self.metrics = Metrics(self.classes)
         self.operator_command_accepted = False  # whether the Router accepted the operator's latest command
         self.streams: dict[Attempt, None] = {}  # attempts whose long answers are being passed on
-        self.max_node_connections = max(16, int((config.sockets - 32) * 0.4))
+        by_memory = (config.memory_mb - AT_REST_MB) * NODE_CONNECTIONS_PER_MB
+        self.node_descriptors = max(16, int((config.sockets - 32) * 0.4))  # that clients may not use
+        self.max_node_connections = min(by_memory, self.node_descriptors)
         self.pool = Pool(loop, self.max_node_connections, config.connect_timeout_us, config.conn_idle_us)
         self.pool.on_stray = self._log_stray
         # Called with a request target if the latest answer to it may have belonged to another request.
--- a/tests/test_client_memory.py
+++ b/tests/test_client_memory.py
@@ -7,7 +7,9 @@
 import pytest
 
 from magpiefront.net import downstream
-from magpiefront.net.client_memory import CONNECTION_COST_BYTES, MIN_SHARE_BYTES, ClientMemory
+from magpiefront.net.client_memory import (
+    CONNECTION_COST_BYTES, MIN_SHARE_BYTES, NODE_CONNECTION_COST_BYTES, ClientMemory,
+)  # fmt: skip
 from tests.sockets import ok, reply, request, run, running_proxy, until
 
 MB = 1 << 20
@@ -28,16 +30,17 @@
 
 
 @pytest.mark.parametrize(
-    ("memory_mb", "at_rest_mb", "fits"), [(192, 27, True), (64, 27, True), (64, 40, True), (64, 60, False)]
+    ("memory_mb", "at_rest_mb", "fits"), [(192, 27, True), (64, 27, True), (64, 40, False), (64, 60, False)]
 )
 def test_limits_fit_between_rest_and_the_limit_of_the_process(
     memory_mb: int, at_rest_mb: int, fits: bool
 ) -> None:
-    memory, connections = ClientMemory(0), 572
-    assert memory.fit(memory_mb * MB, at_rest_mb * MB, connections) is fits
+    memory, connections, to_nodes = ClientMemory(0), 572, 160
+    assert memory.fit(memory_mb * MB, at_rest_mb * MB, connections, to_nodes) is fits
     assert min(memory.limit, memory.answer_limit) >= MIN_SHARE_BYTES
     if fits:
         total = at_rest_mb * MB + memory.limit + memory.answer_limit + connections * CONNECTION_COST_BYTES
+        total += to_nodes * NODE_CONNECTION_COST_BYTES
         assert total <= memory_mb * MB
 
 
@@ -100,7 +103,7 @@
 def test_clients_that_do_not_read_are_closed_when_their_answers_exceed_the_limit() -> None:
     async def main() -> None:
         async with running_proxy(reply(ok(b"x" * 60_000))) as w:
-            w.front.memory.answer_limit = 500_000
+            w.front.memory.answer_limit = 100_000
             slow = [await w.client() for _ in range(10)]
             for client in slow:
                 client.writer.transport.pause_reading()  # type: ignore[attr-defined]
