--- a/standins/reports.py
+++ b/standins/reports.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from standins import http
+from standins.loop_stalls import LoopStalls
 from standins.pgserver import PgServer
 from standins.process import Process
 
@@ -20,6 +21,19 @@
 Rows = list[tuple[str, str, bytes]]  # key, state, body
 
 
+@dataclass(frozen=True)
+class LateAnswer:
+    """An answer that came after the deadline of its request."""
+
+    status: int
+    port: int  # of the process that answered
+    took_s: float  # from before the connection was opened
+    late_s: float  # by which it missed the deadline, less the time for which the client itself was blocked
+
+    def __str__(self) -> str:
+        return f"status {self.status} of port {self.port} after {self.took_s:.3f} s"
+
+
 @dataclass
 class Report:
     """A report of a client, and the outcome of each try to send it."""
@@ -27,7 +41,7 @@
     key: str
     body: bytes
     statuses: list[int] = field(default_factory=list)  # of all tries; 0: no answer
-    late_s: float = 0.0  # the longest time by which an answer missed its deadline
+    latest: LateAnswer | None = None  # the one that missed its deadline by the longest time
     confirmed_s: float = 0.0  # when it was confirmed, by the monotonic clock of this process
 
     @property
@@ -39,6 +53,16 @@
         """Whether all tries were refused with 503."""
         return bool(self.statuses) and set(self.statuses) == {503}
 
+    @property
+    def late_s(self) -> float:
+        """The longest time by which an answer missed its deadline, 0 if none did."""
+        return self.latest.late_s if self.latest else 0.0
+
+    def add_late_answer(self, answer: LateAnswer) -> None:
+        """Keeps the answer if none before missed its deadline by more."""
+        if answer.late_s > self.late_s:
+            self.latest = answer
+
 
 class ReportClients:
     """Clients that send one report after the other, and retry each under the same key until it is confirmed.
@@ -77,11 +101,13 @@
 
 async def send_report(report: Report, port: int) -> tuple[int, float]:
     """Sends the report once. Returns the status (0: no answer) and the seconds to wait before a retry."""
-    began = time.monotonic()
+    stalls = LoopStalls.of_running_loop()
+    began = sent = time.monotonic()
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             try:
+                sent = time.monotonic()
                 name = f"{report.key}-{len(report.statuses)}"
                 writer.write((
                     f"PUT /api/g-{report.key} HTTP/1.1\r\nHost: x\r\nReq-Id: {name}\r\n"
@@ -95,8 +121,11 @@
     except (OSError, TimeoutError, asyncio.IncompleteReadError, http.MalformedMessage, http.TruncatedBody):
         return 0, 0.05
     now = time.monotonic()
-    report.late_s = max(report.late_s, now - began - DEADLINE_S)
     status = int(message.start.split(" ")[1])
+    late_s = now - began - DEADLINE_S
+    if late_s > 0:
+        late_s -= stalls.total_s(began, sent) + stalls.total_s(began + DEADLINE_S, now)
+    report.add_late_answer(LateAnswer(status, port, now - began, late_s))
     if status == 200:
         report.confirmed_s = now
     return status, min(0.2, float(message.headers.get("retry-after", "0.05")))
