--- a/magpiefront/router.py
+++ b/magpiefront/router.py
@@ -129,13 +129,15 @@
 
     __slots__ = (
         "cell", "down", "failures", "in_flight", "latency_at", "latency_us", "name", "origin",
-        "predecessor_load", "responded_at", "slots", "started_at", "suspect", "suspect_since",
-        "traffic_share", "trial_at", "trial_backoff_us", "trial_in_flight", "warm_at", "zone",
+        "predecessor_load", "responded_at", "slots", "start_learned_at", "started_at", "suspect",
+        "suspect_since", "traffic_share", "trial_at", "trial_backoff_us", "trial_in_flight", "warm_at",
+        "zone",
     )  # fmt: skip
 
     def __init__(self, name: str) -> None:
         self.name, self.zone, self.cell = name, "", -1
         self.slots = self.in_flight = self.started_at = self.warm_at = self.responded_at = 0
+        self.start_learned_at = -1  # when the list told of `started_at`; -1: it has told of no start
         self.failures = self.trial_backoff_us = self.suspect_since = self.trial_at = self.predecessor_load = 0
         self.latency_us, self.latency_at = 0.0, 0  # moving average over reads, and when it was last updated
         self.traffic_share = 1.0  # share of its keys for which it gets the requests
@@ -144,13 +146,27 @@
 
 class Attempt:
     """One sending of a request to a server. `outstanding`: it has not ended yet. `paused`: its server has
-    begun an answer and then paused for long. `started_at`: the start of the server that it was sent to."""
+    begun an answer and then paused for long. `started_at`, `zone` and `cell`: those of the server when the
+    attempt was sent; the list may change them."""
 
-    __slots__ = ("may_have_run", "outstanding", "paused", "sent_at", "server", "started_at")
+    __slots__ = (
+        "cell", "may_have_run", "outstanding", "paused", "sent_at", "server", "started_at", "zone",
+    )  # fmt: skip
 
     def __init__(self, server: Server, now: int) -> None:
         self.server, self.sent_at, self.outstanding, self.may_have_run = server, now, True, True
         self.paused, self.started_at = False, server.started_at
+        self.zone, self.cell = server.zone, server.cell
+
+    def in_same_group(self, server: Server, scope: DedupScope) -> bool:
+        """Returns whether the server shares its record of idempotency keys with the one of this attempt."""
+        match scope:
+            case DedupScope.ALL:
+                return True
+            case DedupScope.ZONE:
+                return server.zone == self.zone
+            case DedupScope.CELL:
+                return server.cell == self.cell
 
 
 class PendingRequest:
@@ -493,15 +509,13 @@
     def _may_follow(self, pending: PendingRequest, executed: Attempt | None, server: Server) -> bool:
         """Returns whether the server may get a further attempt. It must be one without an attempt so far. If
         the request is keyed and may have run, the server must also share its record of keys with the server
-        of `executed`, the first attempt that may have run."""
+        of `executed`, the first attempt that may have run, and must not have started since."""
         if any(a.server.name == server.name for a in pending.attempts):
             return False
-        if executed is None or pending.cls.repeat is not Repeat.KEYED or pending.cls.group is DedupScope.ALL:
+        if executed is None or pending.cls.repeat is not Repeat.KEYED:
             return True
-        return (
-            server.zone == executed.server.zone
-            if pending.cls.group is DedupScope.ZONE
-            else server.cell == executed.server.cell
+        return server.start_learned_at < executed.sent_at and executed.in_same_group(
+            server, pending.cls.group
         )
 
     def _admits_while_cold(self, now: int, server: Server) -> bool:
@@ -876,7 +890,7 @@
             self.origin.pop(server.name, None)
             self.placement.put(server.name, server, server.slots)
         if entry.started_at_us > server.started_at:
-            server.started_at = entry.started_at_us
+            server.started_at, server.start_learned_at = entry.started_at_us, now
             server.warm_at = self._start_time(now, entry.started_at_us, event.kind) + self.settings.cold_us
             server.latency_us, server.traffic_share, server.responded_at = 0.0, 1.0, 0
             self._clear_suspicion(server)
--- a/magpiefront/router_state.py
+++ b/magpiefront/router_state.py
@@ -17,6 +17,7 @@
 State = dict[str, Any]
 # One hour: the longest wait, latency or time from now that an imported state may hold.
 MAX_TIME_US = 3_600_000_000
+MAX_START_US = 1 << 62  # the latest start of a server, in microseconds of Unix time
 
 
 class InvalidState(Exception):
@@ -38,6 +39,7 @@
             ]
             for server in router.servers.values()
         },
+        "starts": {server.name: server.started_at for server in router.servers.values()},
         "gates": [[gate.share, gate.bad_share, gate.baseline]
                   for gate in (router.server_gate, router.origin_gate)],
         "budget": router.retry_budget, "trouble": router.fleet_bad_share,
@@ -78,12 +80,16 @@
 
 
 def import_state(router: Router, state: Any, now_us: int) -> None:
-    """Applies an exported state. The state of servers that this Router does not have is ignored. Raises
-    InvalidState; the Router is unchanged then."""
+    """Applies an exported state. The state of servers that this Router does not have, or of
+    an earlier start of them, is ignored. Raises InvalidState; the Router is unchanged then."""
     try:
         if state["version"] != VERSION:
             raise InvalidState
         excluded = [name for name in state["banned"] if isinstance(name, str)]
+        starts = {
+            str(name): checked_int(started_at, 0, MAX_START_US)
+            for name, started_at in state.get("starts", {}).items()
+        }
         servers = {
             str(name): (
                 checked_int(warm_in_us, -MAX_TIME_US * 10_000_000, MAX_TIME_US),
@@ -125,7 +131,8 @@
         raise InvalidState
     router.exclude(excluded)
     for server in router.servers.values():
-        if server.name in servers:
+        # An older process does not say of which start of the server it knows.
+        if server.name in servers and starts.get(server.name, server.started_at) == server.started_at:
             (
                 warm_in_us, server.traffic_share, failures, suspect, down, trial_backoff_us, trial_in_us,
             ) = servers[server.name]  # fmt: skip
--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -2,8 +2,14 @@
 
 from __future__ import annotations
 
+import json
+from dataclasses import replace
+
+import pytest
+
+from magpiefront import router_state
 from magpiefront.interface import ListKind, Outcome, ServerList
-from tests.helpers import NAMES, RouterDriver, entry
+from tests.helpers import NAMES, SETTINGS, RouterDriver, entry
 
 
 def restart(driver: RouterDriver, name: str) -> None:
@@ -41,3 +47,51 @@
     assert server.latency_us > 0 and server.traffic_share < 1
     restart(driver, NAMES[0])
     assert server.latency_us == 0 and server.traffic_share == 1.0 and server.warm_at > driver.now
+
+
+def send_first(driver: RouterDriver, cls: str) -> str:
+    """Sends the request r1 of a class. Returns the server that got it."""
+    driver.arrive("r1", cls=cls, key=3)
+    driver.advance(1_000)
+    return driver.sent["r1"][0].server
+
+
+@pytest.mark.parametrize(("cls", "attribute"), [("zoned", "zone"), ("celled", "cell")])
+def test_a_retry_stays_in_the_group_of_the_process_that_may_have_run_it(cls: str, attribute: str) -> None:
+    for kept in NAMES:
+        driver = RouterDriver()
+        server = send_first(driver, cls)
+        before = getattr(driver.router.listed[server], attribute)
+        moved = entry(server, started_at_us=driver.now, **{attribute: "elsewhere" if cls == "zoned" else 9})
+        others = [
+            entry(n, **{attribute: getattr(moved, attribute)}) for n in NAMES if n not in (server, kept)
+        ]
+        driver.handle(ServerList(ListKind.PATCH, [moved, *others]))
+        driver.end("r1", Outcome.RESET, attempt=0)
+        repeats = {getattr(driver.router.listed[sent.server], attribute) for sent in driver.sent["r1"][1:]}
+        assert repeats <= {before}
+
+
+@pytest.mark.parametrize("cls", ["write", "zoned", "celled"])
+def test_a_keyed_request_is_not_repeated_at_a_process_that_started_after_it_was_sent(cls: str) -> None:
+    driver = RouterDriver(replace(SETTINGS, cold_us=0))
+    server = send_first(driver, cls)
+    for name in NAMES:
+        if name != server:
+            restart(driver, name)
+    driver.advance(1_000)
+    driver.end("r1", Outcome.RESET, attempt=0)
+    assert len(driver.sent["r1"]) == 1
+
+
+def test_an_upgrade_does_not_give_the_next_start_the_health_of_the_previous_one() -> None:
+    old = RouterDriver()
+    for server in (old.router.servers[name] for name in NAMES[:2]):
+        server.traffic_share, server.suspect, server.failures = 0.5, True, 4
+    state = router_state.export_state(old.router, old.now)
+    new = RouterDriver()
+    restart(new, NAMES[0])
+    router_state.import_state(new.router, json.loads(json.dumps(state)), new.now)
+    restarted, same = (new.router.servers[name] for name in NAMES[:2])
+    assert (restarted.traffic_share, restarted.suspect, restarted.failures) == (1.0, False, 0)
+    assert (same.traffic_share, same.suspect, same.failures) == (0.5, True, 4)
