--- a/magpiefront/maintenance/pool_guard.py
+++ b/magpiefront/maintenance/pool_guard.py
@@ -28,8 +28,8 @@
     # By name: the latest node, and before it the earlier nodes of this name that still have open connections.
     nodes_by_name: dict[str, list[GuardedNode]]
 
-    def __init__(self, pool: Pool, name: str, address: Address) -> None:
-        super().__init__(pool, name, address)
+    def __init__(self, pool: Pool, name: str, address: Address, started_at_us: int = 0) -> None:
+        super().__init__(pool, name, address, started_at_us)
         others = self.nodes_by_name.get(name, [])
         self.nodes_by_name[name] = [*(n for n in others if n.open), self]
 
--- a/magpiefront/net/pool.py
+++ b/magpiefront/net/pool.py
@@ -32,18 +32,19 @@
 
 
 class Node:
-    """A cache node at one address, and the connections to it."""
+    """One start of a cache node at one address, and the connections to it. `started_at_us`: when the node
+    last started, as the list says; 0 if that was long ago."""
 
     __slots__ = ("address", "excluded", "host_header", "idle", "name", "open", "pool", "retired",
-                 "unused")  # fmt: skip
+                 "started_at_us", "unused")  # fmt: skip
 
-    def __init__(self, pool: Pool, name: str, address: Address) -> None:
-        self.pool, self.name, self.address = pool, name, address
+    def __init__(self, pool: Pool, name: str, address: Address, started_at_us: int = 0) -> None:
+        self.pool, self.name, self.address, self.started_at_us = pool, name, address, started_at_us
         self.host_header = f"{address[0]}:{address[1]}".encode()
         self.idle: list[NodeConnection] = []  # resting or idle; the longest idle one comes first
         self.unused: list[NodeConnection] = []  # never used: their exchange was sent on another one
         self.open = 0  # connections that are open or being made
-        self.retired = False  # no longer listed, or listed at another address
+        self.retired = False  # no longer listed, or listed at another address or with a later start
         self.excluded = False  # taken out of rotation by an operator
 
     @property
@@ -230,16 +231,19 @@
         # ends as a reset.
         self.idle_s = max(idle_us / 2e6, idle_us / 1e6 - 5)
 
-    def set_node_address(self, name: str, address: Address | None) -> None:
-        """Sets the address of a node. With None, or when the address changes, the old one is retired."""
+    def set_node_address(self, name: str, address: Address | None, started_at_us: int = 0) -> None:
+        """Sets the address of a node and the time of its latest start. With None, when the address changes or
+        when it has started again, the old one is retired: no connection that was opened, or is being opened,
+        to the process of an earlier start gets a new exchange."""
         node = self.nodes.get(name)
-        if node is not None and node.address == address:
+        if node is not None and node.address == address and started_at_us <= node.started_at_us:
             return
         if node is not None:
             node.retire()
             del self.nodes[name]
         if address is not None:
-            self.nodes[name] = self.node_type(self, name, address)
+            self.nodes[name] = self.node_type(self, name, address, started_at_us)
+            self.nodes[name].excluded = node is not None and node.excluded
 
     @property
     def is_full(self) -> bool:
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -569,7 +569,8 @@
         a node that has none."""
         self.list_received_at = self.now_us()
         for entry in server_list.entries:
-            self.pool.set_node_address(entry.server, addresses.get(entry.server))
+            address = addresses.get(entry.server)
+            self.pool.set_node_address(entry.server, address, entry.started_at_us)
         self.dispatch(server_list)
 
     def sweep(self) -> None:
--- a/tests/test_restarted_servers.py
+++ b/tests/test_restarted_servers.py
@@ -1,8 +1,10 @@
-"""What is known about a server belongs to one start of it: tests of the Router."""
+"""What is known about a server, and each connection to it, belongs to one start of it."""
 
 from __future__ import annotations
 
+import asyncio
 import json
+import time
 from dataclasses import replace
 
 import pytest
@@ -10,6 +12,7 @@
 from magpiefront import router_state
 from magpiefront.interface import ListKind, Outcome, ServerList
 from tests.helpers import NAMES, SETTINGS, RouterDriver, entry
+from tests.sockets import gated, run, running_proxy, until
 
 
 def restart(driver: RouterDriver, name: str) -> None:
@@ -95,3 +98,32 @@
     restarted, same = (new.router.servers[name] for name in NAMES[:2])
     assert (restarted.traffic_share, restarted.suspect, restarted.failures) == (1.0, False, 0)
     assert (same.traffic_share, same.suspect, same.failures) == (0.5, True, 4)
+
+
+def test_a_connection_to_the_previous_start_gets_no_request() -> None:
+    async def main() -> None:
+        async with running_proxy(None) as w:
+            (node,) = w.nodes
+            await w.ask()
+            w.advance_past_rest()  # its connection could be used again, for its host has gone without a word
+            w.lists.change(2, node.entry(startedAtMs=time.time() * 1000))
+            await until(lambda: w.proxy.router.servers["s-0"].started_at)
+            assert (await w.ask(kind="once")).status == 200
+            assert [seen.connection for seen in node.seen] == [1, 2]
+
+    run(main())
+
+
+def test_a_request_in_flight_at_the_previous_start_gets_its_answer() -> None:
+    async def main() -> None:
+        gate = asyncio.Event()
+        async with running_proxy(gated(gate)) as w:
+            (node,) = w.nodes
+            answer = asyncio.create_task(w.ask(kind="once"))
+            await until(lambda: node.seen)
+            w.lists.change(2, node.entry(startedAtMs=time.time() * 1000))
+            await until(lambda: w.proxy.router.servers["s-0"].started_at)
+            gate.set()
+            assert (await answer).status == 200 and len(node.seen) == 1
+
+    run(main())
