--- a/magpiefront/net/listing.py
+++ b/magpiefront/net/listing.py
@@ -74,7 +74,7 @@
             intern(str(raw_entry.get("machineType", ""))),
             int(raw_entry.get("cell", -1)),
             # From ms to µs. With a wrong unit, the start would lie far in the future.
-            int(float(raw_entry.get("startedAtMs", 0)) * 1000),
+            round(float(raw_entry.get("startedAtMs", 0)) * 1000),
         )
     except (KeyError, TypeError, ValueError, OverflowError, AttributeError):
         raise InvalidList from None
@@ -196,7 +196,13 @@
         self._mean_weight = 0.0  # of the first whole list with valid weights; 0: not known
         self._invalid_entries = 0
         self._by_address: dict[Address, str] = {}  # the node that was listed last as ready at each address
-        self._address_conflicts: list[tuple[str, str]] = []  # pairs that shared an address at some time
+        # The nodes that have been listed as ready at an address together with others, by that address, and
+        # the addresses among them where that has changed since it was last decided which process is there.
+        self._sharing: dict[Address, dict[str, None]] = {}
+        self._undecided: dict[Address, None] = {}
+        # Nodes that are listed at the address of one that was started later. Another process is there now, so
+        # they are reported as gone.
+        self._superseded: set[str] = set()
         self._end_unreported = False  # the latest report had `more` set: another must follow
         self._slice_scheduled = False
         self._progress = Progress()
@@ -307,8 +313,7 @@
         self._read_pending(ENTRIES_PER_TURN)
         self._progress.count(perf_counter() - began)
         if self.pending:
-            self._slice_scheduled = True
-            self.receiver.schedule_slice(self._read_slice)
+            self._schedule_slice()
             return
         if self._progress.entries:
             self.receiver.events_log.emit("list", None, generation=self.generation, **self._progress.fields())
@@ -316,10 +321,16 @@
         if self._invalid_entries:
             self.receiver.log(f"discovery: {self._invalid_entries} entries can't be read")
             self._invalid_entries = 0
-        shared = sum(self._share_address(a, b) for a, b in self._address_conflicts)
+        shared = sum(self._decide_address(address) for address in self._undecided)
         if shared:
             self.receiver.log(f"discovery: {shared} nodes are listed at the address of another")
-        self._address_conflicts = []
+        self._undecided = {}
+        if self.pending:
+            self._schedule_slice()
+
+    def _schedule_slice(self) -> None:
+        self._slice_scheduled = True
+        self.receiver.schedule_slice(self._read_slice)
 
     def _read_pending(self, max_entries: int) -> None:
         """Reads up to `max_entries` entries and reports those that have changed: removed nodes first, then
@@ -368,16 +379,39 @@
         if node.entry.status is Status.READY:
             other = self._by_address.get(node.address, name)
             if other != name:
-                self._address_conflicts.append((other, name))
+                self._sharing.setdefault(node.address, {})[other] = None
+            if node.address in self._sharing:
+                self._sharing[node.address][name] = self._undecided[node.address] = None
             self._by_address[node.address] = name
         return node
 
-    def _share_address(self, first: str, second: str) -> bool:
-        """Whether both nodes are ready and listed at the same address."""
-        nodes = self.held.get(first), self.held.get(second)
-        ready = [node for node in nodes if node is not None and node.entry.status is Status.READY]
-        return len(ready) == len(nodes) and ready[0].address == ready[1].address
-
     def _release_address(self, node: ListedNode) -> None:
+        """Called when a node is no longer listed as it was."""
+        self._superseded.discard(node.entry.server)
         if self._by_address.get(node.address) == node.entry.server:
             del self._by_address[node.address]
+        if node.address in self._sharing:
+            self._undecided[node.address] = None
+
+    def _decide_address(self, address: Address) -> int:
+        """Decides which of the nodes at an address are there: those that were started last. Removes the
+        others, and reads those again that had been removed so and now are there. Returns how many nodes share
+        the address with another."""
+        held = [self.held[name] for name in self._sharing[address] if name in self.held]
+        ready = [node for node in held if node.entry.status is Status.READY and node.address == address]
+        self._sharing[address] = dict.fromkeys(node.entry.server for node in ready)
+        if len(ready) < 2:
+            del self._sharing[address]
+        last_start_us = max((node.entry.started_at_us for node in ready), default=0)
+        for node in ready:
+            name = node.entry.server
+            if node.entry.started_at_us == last_start_us:
+                self._by_address[address] = name
+                if name in self._superseded:
+                    self._superseded.discard(name)
+                    self._pending_changes[name] = write_entry(self.held.pop(name))
+            elif name not in self._superseded:
+                self._superseded.add(name)
+                self._removed[name] = node.entry, Status.GONE
+                self.receiver.stop_sending([name])
+        return max(0, len(ready) - 1)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -178,6 +178,43 @@
     with_large_list(scenario)
 
 
+OLD, NEW = entry_of(1, startedAtMs=1_000), {**entry_of(2, startedAtMs=2_000), "hostPort": "127.0.0.1:7000"}
+
+
+@pytest.mark.parametrize("first", [OLD, NEW], ids=["the old one is listed first", "the new one first"])
+@pytest.mark.parametrize(
+    ("change", "ready_then"),
+    [
+        ([], {"s-2"}),
+        ([{**NEW, "lifecycle": "Gone"}], {"s-1"}),
+        ([{**NEW, "lifecycle": "Terminating"}], {"s-1"}),
+        ([{**NEW, "hostPort": "127.0.0.9:7000"}], {"s-1", "s-2"}),
+        ([{**OLD, "lifecycle": "Gone"}], {"s-2"}),
+        ([{**OLD, "hostPort": "127.0.0.9:7000"}], {"s-1", "s-2"}),
+        ([{**OLD, "startedAtMs": 3_000}], {"s-1"}),
+        ([{**NEW, "weight": 2.0}], {"s-2"}),
+        ([{**NEW, "lifecycle": "Gone"}, {**OLD, "lifecycle": "Gone"}], set()),
+    ],
+)
+def test_nothing_is_sent_to_the_earlier_of_two_processes_at_one_address(
+    first: dict[str, Any], change: list[dict[str, Any]], ready_then: set[str]
+) -> None:
+    async def main() -> None:
+        receiver = Receiver(asyncio.get_running_loop())
+        listing = Listing(receiver)
+        listing.apply(list_of(1, [first], reset=True))
+        await until(lambda: not listing.pending)
+        listing.apply(list_of(2, [OLD, NEW]))
+        await until(lambda: not listing.pending)
+        assert receiver.ready.keys() == {"s-2"} and not receiver.events[-1].more
+        listing.apply(list_of(3, change))
+        await until(lambda: not listing.pending)
+        assert receiver.ready.keys() == ready_then and not receiver.events[-1].more
+        assert len(receiver.log_lines) <= 3
+
+    run(main())
+
+
 @pytest.mark.parametrize("lifecycle", ["Terminating", "Gone"])
 def test_a_node_at_the_address_of_a_removed_one_is_no_conflict(lifecycle: str) -> None:
     async def scenario(listing: Listing, receiver: Receiver) -> None:
