--- a/magpiefront/net/node_connection.py
+++ b/magpiefront/net/node_connection.py
@@ -57,13 +57,14 @@
 
     `number` is the connection's number among those that the pool has opened, from 1. `written`: the whole
     message has been handed to the kernel. `paused`: reading is paused, since the client reads slowly.
-    `streams`: the answer is streamed to the client. `pause_watched`: a timer watches for pauses in the
-    answer. `detached`: `detach_exchange` was called while the connection was being made, so that it is kept
-    for another exchange.
+    `established`: the task that connects it has ended well. `streams`: the answer is streamed to the client.
+    `pause_watched`: a timer watches for pauses in the answer. `detached`: `detach_exchange` was called while
+    the connection was being made, so that it is kept for another exchange.
     """
 
-    __slots__ = ("body_reads", "detached", "exchange", "last_data_at", "last_target", "lifecycle", "node",
-                 "number", "pause_watched", "paused", "socket_state", "streams", "written")  # fmt: skip
+    __slots__ = ("body_reads", "detached", "established", "exchange", "last_data_at", "last_target",
+                 "lifecycle", "node", "number", "pause_watched", "paused", "socket_state", "streams",
+                 "written")  # fmt: skip
 
     def __init__(self, node: ConnectionOwner, exchange: Exchange, number: int = 0) -> None:
         super().__init__()
@@ -71,6 +72,7 @@
         self.exchange: Exchange | None = exchange
         self.lifecycle = ConnectionLifecycle()
         self.written = self.paused = self.pause_watched = self.streams = self.detached = False
+        self.established = False
         self.body_reads = 0  # how often a part of the answer's body was read while more was to come
         self.last_data_at = 0.0  # loop time at which more of the answer was last read
         self.last_target = b""  # target of the request that was answered last
@@ -173,6 +175,8 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        if self.parser is None:
+            return  # it has been called before
         self.node.connection_closed(self)
         self.fail()
         super().connection_lost(exc)
