--- a/magpiefront/net/lag.py
+++ b/magpiefront/net/lag.py
@@ -10,6 +10,7 @@
 BEHIND_THRESHOLD_S = 0.02  # lag above which timers may be overdue and received data unread
 # Changes of the shed fraction with each measurement, and its maximum.
 SHED_INCREASE, SHED_DECREASE, MAX_SHED = 0.04, 0.01, 0.9
+PIPELINED_SHED_INCREASE = 0.2  # larger, since each of these clients asks for several answers at once
 
 
 class LoopLag:
@@ -19,11 +20,16 @@
     `limit_s`, a growing fraction of the requests is therefore refused as soon as they are read, which
     costs a fraction of serving them. The fraction grows in small steps, so that a single pause of the
     process refuses hardly any request.
+
+    Clients that send many requests at once on a connection have a fraction of their own. While most requests
+    come from them, it grows first: otherwise a few of them would have the requests of all others refused.
     """
 
     def __init__(self, seed: int, limit_s: float) -> None:
         self.limit_s = limit_s
-        self.shed_fraction = 0.0
+        self.shed_fraction = self.pipelined_shed_fraction = 0.0
+        # Requests since the last measurement, and how many of them were pipelined.
+        self.requests = self.pipelined_requests = 0
         self.catching_up = False  # the loop ran late, and has not yet read all that had arrived by then
         self.max_lag_s = 0.0  # the longest lag since the start
         self.random = Random(seed)
@@ -35,13 +41,25 @@
         this call is late."""
         late_s = now - self.next_tick_at if self.next_tick_at else 0.0
         self.max_lag_s = max(self.max_lag_s, late_s)
-        if self.next_tick_at and now - self.next_tick_at > self.limit_s:
-            self.shed_fraction = min(MAX_SHED, self.shed_fraction + SHED_INCREASE)
+        if late_s > self.limit_s:
+            self._shed_more()
         else:
             self.shed_fraction = max(0.0, self.shed_fraction - SHED_DECREASE)
+            self.pipelined_shed_fraction = max(0.0, self.pipelined_shed_fraction - SHED_DECREASE)
+        self.requests = self.pipelined_requests = 0
         self.next_tick_at = now + TICK_S
         return late_s
 
+    def _shed_more(self) -> None:
+        """Raises the fraction of pipelined requests, if most of the latest ones were and it is below its
+        maximum; otherwise that of all requests."""
+        if self.pipelined_shed_fraction < MAX_SHED and 2 * self.pipelined_requests > self.requests:
+            self.pipelined_shed_fraction = min(
+                MAX_SHED, self.pipelined_shed_fraction + PIPELINED_SHED_INCREASE
+            )
+        else:
+            self.shed_fraction = min(MAX_SHED, self.shed_fraction + SHED_INCREASE)
+
     def caught_up(self) -> None:
         """Called when all that had arrived by the time the loop ran late has been read."""
         self.catching_up = False
@@ -52,6 +70,10 @@
         unread. `now` is as in `measure`."""
         return self.catching_up or (self.next_tick_at > 0 and now - self.next_tick_at > BEHIND_THRESHOLD_S)
 
-    def should_shed(self) -> bool:
-        """Whether to refuse the current request: true at random for the shed fraction of requests."""
-        return self.shed_fraction > 0 and self.random.random() < self.shed_fraction
+    def should_shed(self, pipelined: bool) -> bool:
+        """Whether to refuse the current request: true at random for the shed fraction of requests.
+        `pipelined`: its client has sent more on its connection before it had an answer."""
+        self.requests += 1
+        self.pipelined_requests += pipelined
+        fraction = max(self.shed_fraction, self.pipelined_shed_fraction) if pipelined else self.shed_fraction
+        return fraction > 0 and self.random.random() < fraction
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -323,7 +323,7 @@
     def submit(self, request: Request) -> None:
         """Hands a request to the Router. Answers 503 if a limit of the proxy is reached, and 409 if an open
         request has the same id."""
-        reason = self._refusal_reason()
+        reason = self._refusal_reason(request.pipelined)
         if reason is not None:
             self.events_log.emit("refused", reason, request=request.wire_id.decode("latin-1"))
             request.responder.answer(request, 503)
@@ -406,11 +406,11 @@
         if request.cls is not None and must_run_once(request.cls):
             self.remember_id(OnceRequest(request.wire_id, request.cls))
 
-    def _refusal_reason(self) -> Reason | None:
-        """Why a further request is refused now; None if it is not."""
+    def _refusal_reason(self, pipelined: bool) -> Reason | None:
+        """Why a further request is refused now; None if it is not. `pipelined`: as in `LoopLag`."""
         if len(self.requests) >= self.config.max_open:
             return Reason.CROWDED
-        return Reason.BEHIND if self.lag.should_shed() else None
+        return Reason.BEHIND if self.lag.should_shed(pipelined) else None
 
     def _answer_overdue(self, request: Request, after_reading: bool = False) -> None:
         if (
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -470,7 +470,7 @@
             # Called with times that the test chooses: real ones depend on the load of the machine.
             measure = w.proxy.lag.measure
             measure(1.0)
-            assert w.proxy.lag.limit_s == 0.1 and not w.proxy.lag.should_shed()
+            assert w.proxy.lag.limit_s == 0.1 and not w.proxy.lag.should_shed(False)
             for n in range(40):  # each measurement comes 0.2 s late
                 measure(1.0 + 0.21 * (n + 1))
             assert w.proxy.lag.shed_fraction == lag.MAX_SHED
