--- a/magpiefront/interface.py
+++ b/magpiefront/interface.py
@@ -225,6 +225,7 @@
     cache_result: int = 0  # 1: hit, 2: miss, 3: miss while the key was already being fetched; 0: not known
     report: dict[str, float] | None = None  # the server's load report, if it sent one
     pipelined: bool = False  # as in `Arrived`, but known by now
+    own_delay_us: int = 0  # for how much of `elapsed_us` this process was late itself
 
 
 @dataclass(slots=True)
--- a/magpiefront/net/exchange.py
+++ b/magpiefront/net/exchange.py
@@ -127,7 +127,8 @@
     `begin_by`, both in microseconds of the host's clock. `number` is its index among the request's attempts.
     """
 
-    __slots__ = ("begin_by", "expire_at", "host", "late_check_done", "number", "request", "streaming")
+    __slots__ = ("begin_by", "expire_at", "host", "lag_s_before", "late_check_done", "number", "request",
+                 "streaming")  # fmt: skip
 
     def __init__(
         self, host: ExchangeHost, request: Request, number: int, node: ExchangeNode, now: int, expire_at: int
@@ -136,6 +137,7 @@
         self.host, self.request, self.number, self.expire_at = host, request, number, expire_at
         self.begin_by = expire_at
         self.streaming = False
+        self.lag_s_before = 0.0  # how long the event loop had been late in total when it was created
         self.late_check_done = False  # whether its expiry was postponed once to read what had arrived
 
     def may_begin(self) -> bool:
--- a/magpiefront/net/lag.py
+++ b/magpiefront/net/lag.py
@@ -17,9 +17,9 @@
     """Measures the lag of the event loop, and decides which requests to shed.
 
     If the proxy had too little CPU time, all answers would be late. While the event loop lags by more than
-    `limit_s`, a growing fraction of the requests is therefore refused as soon as they are read, which
-    costs a fraction of serving them. The fraction grows in small steps, so that a single pause of the
-    process refuses hardly any request.
+    `limit_s`, or answers miss their aim because it has lagged, a growing fraction of the requests is
+    therefore refused as soon as they are read, which costs a fraction of serving them. The fraction grows in
+    small steps, so that a single pause of the process refuses hardly any request.
 
     Clients that send many requests at once on a connection have a fraction of their own. While most requests
     come from them, it grows first: otherwise a few of them would have the requests of all others refused.
@@ -30,8 +30,10 @@
         self.shed_fraction = self.pipelined_shed_fraction = 0.0
         # Requests since the last measurement, and how many of them were pipelined.
         self.requests = self.pipelined_requests = 0
+        self.answer_delayed = False  # whether an answer since then missed its aim for the loop's lag
         self.catching_up = False  # the loop ran late, and has not yet read all that had arrived by then
         self.max_lag_s = 0.0  # the longest lag since the start
+        self.total_lag_s = 0.0  # of all measurements with a lag of more than BEHIND_THRESHOLD_S
         self.random = Random(seed)
         self.next_tick_at = 0.0
 
@@ -41,15 +43,24 @@
         this call is late."""
         late_s = now - self.next_tick_at if self.next_tick_at else 0.0
         self.max_lag_s = max(self.max_lag_s, late_s)
-        if late_s > self.limit_s:
+        if late_s > BEHIND_THRESHOLD_S:
+            self.total_lag_s += late_s
+        if late_s > self.limit_s or self.answer_delayed:
             self._shed_more()
         else:
             self.shed_fraction = max(0.0, self.shed_fraction - SHED_DECREASE)
             self.pipelined_shed_fraction = max(0.0, self.pipelined_shed_fraction - SHED_DECREASE)
         self.requests = self.pipelined_requests = 0
+        self.answer_delayed = False
         self.next_tick_at = now + TICK_S
         return late_s
 
+    def total_s(self, now: float) -> float:
+        """Returns for how many seconds the loop has been late since the start, including the current turn.
+        `now` is as in `measure`."""
+        current_s = now - self.next_tick_at if self.next_tick_at else 0.0
+        return self.total_lag_s + (current_s if current_s > BEHIND_THRESHOLD_S else 0.0)
+
     def _shed_more(self) -> None:
         """Raises the fraction of pipelined requests, if most of the latest ones were and it is below its
         maximum; otherwise that of all requests."""
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -260,6 +260,7 @@
         if node is None or request.answered or until <= now:
             attempt.end(Outcome.MOOT)
             return
+        attempt.lag_s_before = self.lag.total_s(now / 1e6)
         attempt.timer = self.loop.call_later((until - now) / 1e6, attempt.expire)
         if self.lag.is_behind(now / 1e6):
             self._after_reading(self._begin_if_due, attempt)
@@ -475,11 +476,15 @@
             request.may_have_run = request.may_have_run or answer is not None or attempt.fully_written
         cache_result = answer.cache_result if answer is not None else 0
         report = answer.report if answer is not None else None
-        elapsed_us = self.now_us() - attempt.sent_at
+        now = self.now_us()
+        elapsed_us = now - attempt.sent_at
+        own_delay_us = int((self.lag.total_s(now / 1e6) - attempt.lag_s_before) * 1e6)
+        if request.cls is not None and elapsed_us > request.cls.aim_us and 2 * own_delay_us > elapsed_us:
+            self.lag.answer_delayed = True
         self.dispatch(
             AttemptEnded(
                 request.name, attempt.number, attempt.node.name, outcome, elapsed_us, request.answered,
-                cache_result, report, request.pipelined,
+                cache_result, report, request.pipelined, own_delay_us,
             )
         )  # fmt: skip
         self._drop_if_finished(request)
--- a/magpiefront/router.py
+++ b/magpiefront/router.py
@@ -629,16 +629,20 @@
         self, now: int, pending: PendingRequest, attempt: Attempt, event: AttemptEnded
     ) -> None:
         """Updates health, latency, cached keys and the admission gates by an attempt's outcome. One that was
-        sent before the server's latest start says nothing about the process that runs there now."""
+        sent before the server's latest start says nothing about the process that runs there now. One that
+        took long because this process was late says nothing about how fast the server is."""
         outcome, server = event.outcome, attempt.server
         if attempt.started_at != server.started_at:
             return
         if attempt.paused and outcome is Outcome.CANCELLED:
             outcome = Outcome.RESET  # another server has answered while this one paused
-        silent = outcome is Outcome.TIMEOUT and server.responded_at < attempt.sent_at
+        delayed_here = 2 * event.own_delay_us > now - attempt.sent_at
+        timed_out = outcome is Outcome.TIMEOUT and not delayed_here
+        silent = timed_out and server.responded_at < attempt.sent_at
         failed = outcome in (Outcome.ERROR, Outcome.RESET, Outcome.FULL) or silent
-        bad = failed or outcome is Outcome.TIMEOUT or now - attempt.sent_at > pending.cls.aim_us
-        representative = self._represents_fleet(server)
+        late = now - attempt.sent_at > pending.cls.aim_us and not delayed_here
+        bad = failed or timed_out or late
+        representative = self._represents_fleet(server) and (failed or not delayed_here)
         if representative:
             self.fleet_bad_share += SMOOTHING * (bad - self.fleet_bad_share)
         if bad:
