--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -242,7 +242,9 @@
 
     def _send(self, action: Send) -> None:
         request = self.requests[action.request]
-        if request.attempts:
+        if request.in_flight:
+            self.events_log.emit("hedge", None, request=request.name, to=action.server)
+        elif request.attempts:
             self.events_log.emit(
                 "retry", Reason.FAILED, request=request.name, last=request.last_outcome.value,
                 to=action.server,
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
+import asyncio
 import logging
 
 import pytest
 
 from magpiefront.net.events import MAX_LINES, PERIOD_S, EventLog, Reason
-from tests.sockets import resets, run, running_proxy, until
+from tests.sockets import PROXY_SETTINGS, gated, resets, run, running_proxy, until
 
 
 @pytest.fixture
@@ -45,3 +46,23 @@
             assert any("event=retry reason=failed" in line for line in event_lines.messages)
 
     run(main())
+
+
+def test_a_second_copy_is_logged_as_a_hedge_and_not_as_a_failure(
+    event_lines: pytest.LogCaptureFixture,
+) -> None:
+    async def main() -> None:
+        gate = asyncio.Event()
+        permissions = {**PROXY_SETTINGS["permissions"], "secondCopies": True}
+        async with running_proxy(gated(gate), gated(gate), permissions=permissions) as w:
+            gate.set()
+            await w.ask()  # only what a node has in its cache is hedged
+            gate.clear()
+            answer = asyncio.create_task(w.ask())
+            await until(lambda: len(w.seen()) == 3, "the second copy")
+            gate.set()
+            assert (await answer).status == 200
+            assert any("event=hedge request=" in line for line in event_lines.messages)
+            assert not any("event=retry" in line for line in event_lines.messages)
+
+    run(main())
