--- a/magpiefront/net/pool.py
+++ b/magpiefront/net/pool.py
@@ -97,10 +97,7 @@
         connection = self.pool.connection_type(self, exchange, counters.connections)
         exchange.opening = connection
         exchange.task = self.loop.create_task(self._connect(connection, exchange))
-        timer = self.loop.call_later(
-            self.pool.connect_timeout_s, self._connect_timed_out, connection, exchange, exchange.task
-        )
-        exchange.task.add_done_callback(lambda _: self._connect_done(connection, timer))
+        exchange.task.add_done_callback(lambda _: self._connect_done(connection))
 
     def _take_reusable(self, now: float) -> NodeConnection | None:
         """Removes a connection that may carry an exchange now from the pool, and returns it. Takes the most
@@ -147,10 +144,9 @@
             connection.close()
             self._reuse_if_waiting(exchange)
 
-    def _connect_done(self, connection: NodeConnection, timer: asyncio.TimerHandle) -> None:
+    def _connect_done(self, connection: NodeConnection) -> None:
         """Releases the connection's slot in the pool if it was not established. An exchange may end before
         its connect task has run at all, so the task itself can't do it."""
-        timer.cancel()
         if connection.transport is None:
             self.connection_closed(connection)
         elif not connection.established:
@@ -159,23 +155,27 @@
             connection.connection_lost(None)
 
     def _connect_timed_out(
-        self, connection: NodeConnection, exchange: Exchange, task: asyncio.Task[None]
+        self, connection: NodeConnection, exchange: Exchange, task: asyncio.Task[None] | None
     ) -> None:
         """Gives up a connection that is not established after the connect timeout, once what had arrived by
         now has been read: if the event loop is late, the connection may have come up in time."""
         self.loop.call_soon(self.loop.call_soon, self._give_up_connecting, connection, exchange, task)
 
     def _give_up_connecting(
-        self, connection: NodeConnection, exchange: Exchange, task: asyncio.Task[None]
+        self, connection: NodeConnection, exchange: Exchange, task: asyncio.Task[None] | None
     ) -> None:
         if connection.transport is not None:
             return
         if connection.exchange is exchange:
             exchange.end(Outcome.CONNECT_FAILED)
-        task.cancel()
+        if task is not None:
+            task.cancel()
 
     async def _connect(self, connection: NodeConnection, exchange: Exchange) -> None:
         outcome = Outcome.CONNECT_FAILED
+        timer = self.loop.call_later(
+            self.pool.connect_timeout_s, self._connect_timed_out, connection, exchange, asyncio.current_task()
+        )
         try:
             await self.loop.create_connection(lambda: connection, *self.address)
             connection.established = True
@@ -184,6 +184,8 @@
                 outcome = Outcome.MOOT
         except asyncio.CancelledError:
             outcome = Outcome.MOOT  # the exchange has ended
+        finally:
+            timer.cancel()
         if connection.transport is None and connection.exchange is exchange:
             exchange.task = None
             exchange.end(outcome)
