--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -189,6 +189,7 @@
         unconfirmed, self.unconfirmed = self.unconfirmed, None
         if unconfirmed is not None:
             self.front.answer_unconfirmed(unconfirmed)
+        self._read_to_end()
 
     def _drop_queued(self) -> None:
         """Drops what is being read and the queued requests; none of them gets an answer."""
@@ -343,6 +344,8 @@
         memory = self.front.memory
         if self.reading and not self.unparsed and not self.queued and memory.used <= memory.limit:
             return  # the common case, without further checks
+        if self.lingering:
+            return  # what arrives is read and dropped
         full = self._queue_must_shrink()
         may_read = not self.unparsed and not full and not memory.must_pause(self)
         if may_read != self.reading and not self.transport.is_closing():
@@ -622,7 +625,11 @@
         self.closing = self.lingering = True
         self.last_progress_at = self.front.loop.time()
         self.transport.write_eof()
-        if not self.reading:
+        self._read_to_end()
+
+    def _read_to_end(self) -> None:
+        """Reads on, whatever the limits say: what arrives is dropped until the client has gone."""
+        if not self.reading and not self.transport.is_closing():
             self.reading = True
             self.transport.resume_reading()
 
--- a/tests/test_client_memory.py
+++ b/tests/test_client_memory.py
@@ -100,6 +100,22 @@
     run(main())
 
 
+def test_a_closing_connection_is_read_until_its_client_has_gone() -> None:
+    async def main() -> None:
+        async with running_proxy(None) as w:
+            client = await w.client()
+            await until(lambda: w.front.clients)
+            (connection,) = w.front.clients
+            await until(lambda: connection.transport is not None)
+            connection.linger()
+            connection.unparsed = b"GET"  # the rest of what was read in the turn in which it was closed
+            connection._update_reading()
+            client.writer.transport.abort()
+            await until(lambda: not w.front.clients)
+
+    run(main())
+
+
 def test_clients_that_do_not_read_are_closed_when_their_answers_exceed_the_limit() -> None:
     async def main() -> None:
         async with running_proxy(reply(ok(b"x" * 60_000))) as w:
