--- a/magpiefront/__main__.py
+++ b/magpiefront/__main__.py
@@ -150,11 +150,11 @@
         await asyncio.sleep(START_POLL_S)
     if state is not None:
         upgrade_state.restore(state, proxy)
-    limit = settings.memory_mb << 20
-    if not memory.fit(limit, resident_bytes(), front.max_clients, proxy.max_node_connections):
+    limit, at_rest = settings.memory_mb << 20, resident_bytes()
+    if not memory.fit(limit, at_rest, front.max_clients, proxy.max_node_connections):
         proxy.log(
             f"limits.memory_mb = {settings.memory_mb} is too little for this list of nodes: "
-            f"{resident_bytes() >> 20} MB are in use before the first client; clients may exceed the limit"
+            f"{at_rest >> 20} MB are in use before the first client; clients may exceed the limit"
         )
     listener = (
         handover_client.listener
--- a/magpiefront/interface.py
+++ b/magpiefront/interface.py
@@ -227,6 +227,11 @@
     pipelined: bool = False  # as in `Arrived`, but known by now
     own_delay_us: int = 0  # for how much of `elapsed_us` this process was late itself
 
+    @property
+    def delayed_here(self) -> bool:
+        """Whether it took long because this process was late, so that it says nothing about the server."""
+        return 2 * self.own_delay_us > self.elapsed_us
+
 
 @dataclass(slots=True)
 class StreamBegan:
--- a/magpiefront/net/downstream.py
+++ b/magpiefront/net/downstream.py
@@ -594,7 +594,7 @@
 
     def _finish_answer(self, request: Request, close: bool) -> None:
         self.request = None
-        if request.served and request.cls is not None and must_run_once(request.cls):
+        if request.served and must_run_once(request.cls):
             self.unconfirmed = OnceRequest(request.wire_id, request.cls)
         self.served = True
         self.last_progress_at = self.front.loop.time()
--- a/magpiefront/net/lag.py
+++ b/magpiefront/net/lag.py
@@ -1,8 +1,14 @@
-"""Load shedding by event loop lag: measures the lag and decides which requests to refuse for it."""
+"""Event loop lag: measures it, decides which requests to refuse for it, and defers what must not be decided
+before a late loop has read what had arrived."""
 
 from __future__ import annotations
 
+from asyncio import AbstractEventLoop
+from collections.abc import Callable
 from random import Random
+from typing import TypeVarTuple, Unpack
+
+Args = TypeVarTuple("Args")
 
 # The interval of lag measurements in seconds, and the lag above which requests are shed, as a fraction of the
 # shortest latency objective of a request class.
@@ -13,6 +19,15 @@
 PIPELINED_SHED_INCREASE = 0.2  # larger, since each of these clients asks for several answers at once
 
 
+def after_reading(
+    loop: AbstractEventLoop, call: Callable[[Unpack[Args]], object], *args: Unpack[Args]
+) -> None:
+    """Calls `call` once the event loop has run the overdue callbacks and has read what has arrived: answers,
+    lists with draining nodes, disconnects of clients. The loop polls its sockets once between two turns, so
+    one poll lies between two nested `call_soon`."""
+    loop.call_soon(loop.call_soon, call, *args)
+
+
 class LoopLag:
     """Measures the lag of the event loop, and decides which requests to shed.
 
@@ -41,7 +56,7 @@
         """Measures the lag and adapts the shed fraction; to be called every TICK_S seconds. `now` (seconds)
         must not be the event loop's time, which stands still while callbacks run. Returns by how many seconds
         this call is late."""
-        late_s = now - self.next_tick_at if self.next_tick_at else 0.0
+        late_s = self._current_s(now)
         self.max_lag_s = max(self.max_lag_s, late_s)
         if late_s > BEHIND_THRESHOLD_S:
             self.total_lag_s += late_s
@@ -55,10 +70,15 @@
         self.next_tick_at = now + TICK_S
         return late_s
 
+    def _current_s(self, now: float) -> float:
+        """Returns by how many seconds the next measurement is late; 0 before the first. Negative: it is not
+        due yet."""
+        return now - self.next_tick_at if self.next_tick_at else 0.0
+
     def total_s(self, now: float) -> float:
         """Returns for how many seconds the loop has been late since the start, including the current turn.
         `now` is as in `measure`."""
-        current_s = now - self.next_tick_at if self.next_tick_at else 0.0
+        current_s = self._current_s(now)
         return self.total_lag_s + (current_s if current_s > BEHIND_THRESHOLD_S else 0.0)
 
     def _shed_more(self) -> None:
@@ -79,7 +99,7 @@
         """Whether this turn of the event loop has run, or the process has been stalled, for more than
         BEHIND_THRESHOLD_S, or the loop is still catching up. Then timers may be overdue and received data
         unread. `now` is as in `measure`."""
-        return self.catching_up or (self.next_tick_at > 0 and now - self.next_tick_at > BEHIND_THRESHOLD_S)
+        return self.catching_up or self._current_s(now) > BEHIND_THRESHOLD_S
 
     def should_shed(self, pipelined: bool) -> bool:
         """Whether to refuse the current request: true at random for the shed fraction of requests.
--- a/magpiefront/net/pool.py
+++ b/magpiefront/net/pool.py
@@ -11,6 +11,7 @@
 from magpiefront.interface import Outcome
 from magpiefront.net.config import Address
 from magpiefront.net.exchange import Exchange
+from magpiefront.net.lag import after_reading
 from magpiefront.net.listening import RESOURCE_SHORTAGE_ERRNOS
 from magpiefront.net.node_connection import NodeConnection, Stray
 from magpiefront.net.pool_counters import NewCause, PoolCounters
@@ -159,7 +160,7 @@
     ) -> None:
         """Gives up a connection that is not established after the connect timeout, once what had arrived by
         now has been read: if the event loop is late, the connection may have come up in time."""
-        self.loop.call_soon(self.loop.call_soon, self._give_up_connecting, connection, exchange, task)
+        after_reading(self.loop, self._give_up_connecting, connection, exchange, task)
 
     def _give_up_connecting(
         self, connection: NodeConnection, exchange: Exchange, task: asyncio.Task[None] | None
--- a/magpiefront/net/proxy.py
+++ b/magpiefront/net/proxy.py
@@ -28,7 +28,7 @@
 from magpiefront.net.events import EventLog, Reason
 from magpiefront.net.exchange import PROBE_TIMEOUT_S, Attempt, stalled
 from magpiefront.net.exchange import Probe as ProbeExchange
-from magpiefront.net.lag import BEHIND_THRESHOLD_S, LAG_LIMIT_FRACTION, TICK_S, LoopLag
+from magpiefront.net.lag import BEHIND_THRESHOLD_S, LAG_LIMIT_FRACTION, TICK_S, LoopLag, after_reading
 from magpiefront.net.metrics import Metrics
 from magpiefront.net.node_connection import Stray
 from magpiefront.net.pool import Node, Pool
@@ -127,7 +127,7 @@
         late_s = self.lag.measure(self.now_us() / 1e6)
         if late_s > BEHIND_THRESHOLD_S and not self.lag.catching_up:
             self.lag.catching_up = True
-            self._after_reading(self.lag.caught_up)
+            after_reading(self.loop, self.lag.caught_up)
         if late_s > LONG_TURN_S:
             work = {"requests": len(self.router.pending), "attempts": self.router.in_flight}
             slowest = self.slowest_connection()
@@ -265,7 +265,7 @@
         attempt.lag_s_before = self.lag.total_s(now / 1e6)
         attempt.timer = self.loop.call_later((until - now) / 1e6, attempt.expire)
         if self.lag.is_behind(now / 1e6):
-            self._after_reading(self._begin_if_due, attempt)
+            after_reading(self.loop, self._begin_if_due, attempt)
         else:
             node.begin(attempt)
 
@@ -277,12 +277,6 @@
         else:
             attempt.end(Outcome.MOOT)
 
-    def _after_reading(self, call: Callable[[Unpack[Args]], None], *args: Unpack[Args]) -> None:
-        """Calls `call` once the event loop has run the overdue callbacks and has read what has arrived:
-        answers, lists with draining nodes, disconnects of clients. The loop polls its sockets once between
-        two turns, so one poll lies between two nested `call_soon`."""
-        self.loop.call_soon(self.loop.call_soon, call, *args)
-
     def _answer_status(self, name: str, status: int, more: bytes = b"") -> None:
         request = self.requests.get(name)
         if request is not None and not request.answered:
@@ -400,13 +394,13 @@
                 max(0, request.deadline - now) + memory_us(request.cls),
             )
             for request in self.requests.values()
-            if request.cls is not None and must_run_once(request.cls) and request.client_gone is not None
+            if must_run_once(request.cls) and request.client_gone is not None
         ]
         return self.ids.snapshot(now) + still_open
 
     def _keep_id_of_cut(self, request: Request) -> None:
         """Keeps the id of a request whose answer did not reach its client to the end."""
-        if request.cls is not None and must_run_once(request.cls):
+        if must_run_once(request.cls):
             self.remember_id(OnceRequest(request.wire_id, request.cls))
 
     def _refusal_reason(self, pipelined: bool) -> Reason | None:
@@ -415,12 +409,12 @@
             return Reason.CROWDED
         return Reason.BEHIND if self.lag.should_shed(pipelined) else None
 
-    def _answer_overdue(self, request: Request, after_reading: bool = False) -> None:
+    def _answer_overdue(self, request: Request, has_read: bool = False) -> None:
         if (
-            not request.answered and request.in_flight and not after_reading
+            not request.answered and request.in_flight and not has_read
             and self.lag.is_behind(self.now_us() / 1e6)
         ):  # fmt: skip
-            self._after_reading(self._answer_overdue, request, True)  # its answer may be unread
+            after_reading(self.loop, self._answer_overdue, request, True)  # its answer may be unread
         elif not request.answered:
             late_ms = (self.now_us() - request.deadline) // 1000
             self.events_log.emit("late", Reason.OVERDUE, request=request.name, late_ms=late_ms)
@@ -454,7 +448,7 @@
         if attempt.late_check_done or not self.lag.is_behind(self.now_us() / 1e6):
             return True
         attempt.late_check_done = True
-        self._after_reading(Attempt.expire, attempt)
+        after_reading(self.loop, Attempt.expire, attempt)
         return False
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
@@ -479,16 +473,14 @@
         cache_result = answer.cache_result if answer is not None else 0
         report = answer.report if answer is not None else None
         now = self.now_us()
-        elapsed_us = now - attempt.sent_at
         own_delay_us = int((self.lag.total_s(now / 1e6) - attempt.lag_s_before) * 1e6)
-        if request.cls is not None and elapsed_us > request.cls.aim_us and 2 * own_delay_us > elapsed_us:
-            self.lag.answer_delayed = True
-        self.dispatch(
-            AttemptEnded(
-                request.name, attempt.number, attempt.node.name, outcome, elapsed_us, request.answered,
-                cache_result, report, request.pipelined, own_delay_us,
-            )
+        event = AttemptEnded(
+            request.name, attempt.number, attempt.node.name, outcome, now - attempt.sent_at, request.answered,
+            cache_result, report, request.pipelined, own_delay_us,
         )  # fmt: skip
+        if request.cls is not None and event.elapsed_us > request.cls.aim_us and event.delayed_here:
+            self.lag.answer_delayed = True
+        self.dispatch(event)
         self._drop_if_finished(request)
 
     def answer_paused(self, attempt: Attempt) -> None:
--- a/magpiefront/request_ids.py
+++ b/magpiefront/request_ids.py
@@ -10,6 +10,7 @@
 from collections import deque
 from dataclasses import dataclass
 from hashlib import blake2b
+from typing import TypeGuard
 
 from magpiefront.interface import Repeat, RequestClass
 
@@ -18,8 +19,8 @@
 MAX_KEY_BYTES = 64  # of an id as it is kept; a longer one is kept as its hash
 
 
-def must_run_once(cls: RequestClass | None) -> bool:
-    """Whether requests of this class must not run twice."""
+def must_run_once(cls: RequestClass | None) -> TypeGuard[RequestClass]:
+    """Whether there is a class, and its requests must not run twice."""
     return cls is not None and cls.repeat is not Repeat.SAFE
 
 
--- a/magpiefront/router.py
+++ b/magpiefront/router.py
@@ -636,7 +636,7 @@
             return
         if attempt.paused and outcome is Outcome.CANCELLED:
             outcome = Outcome.RESET  # another server has answered while this one paused
-        delayed_here = 2 * event.own_delay_us > now - attempt.sent_at
+        delayed_here = event.delayed_here
         timed_out = outcome is Outcome.TIMEOUT and not delayed_here
         silent = timed_out and server.responded_at < attempt.sent_at
         failed = outcome in (Outcome.ERROR, Outcome.RESET, Outcome.FULL) or silent
--- a/standins/crowd.py
+++ b/standins/crowd.py
@@ -357,30 +357,24 @@
     return await flood(rig, seconds, lambda n: b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
 
 
+def named_request(number: int, class_name: bytes) -> bytes:
+    """A request whose key, host, id and tenant no other one has."""
+    return (
+        b"GET /api/%d HTTP/1.1\r\nHost: h%d\r\nReq-Kind: %b\r\nReq-Id: f%d\r\nReq-Owner: o%d\r\n"
+        b"Req-Deadline: 1\r\n\r\n" % (number, number, class_name, number, number)
+    )
+
+
 @kind
 async def flood_names(rig: Rig, clients: int, seconds: float) -> dict[str, Any]:
     """Requests under ever new classes, hosts and tenants at full speed."""
-    return await flood(
-        rig,
-        seconds,
-        lambda n: (
-            b"GET /api/%d HTTP/1.1\r\nHost: h%d\r\nReq-Kind: c%d\r\nReq-Id: f%d\r\nReq-Owner: o%d\r\n"
-            b"Req-Deadline: 1\r\n\r\n" % (n, n, n, n, n)
-        ),
-    )
+    return await flood(rig, seconds, lambda n: named_request(n, b"c%d" % n))
 
 
 @kind
 async def flood_tenants(rig: Rig, clients: int, seconds: float) -> dict[str, Any]:
     """Sound requests under ever new hosts, tenants and keys at full speed."""
-    return await flood(
-        rig,
-        seconds,
-        lambda n: (
-            b"GET /api/%d HTTP/1.1\r\nHost: h%d\r\nReq-Kind: read\r\nReq-Id: f%d\r\nReq-Owner: o%d\r\n"
-            b"Req-Deadline: 1\r\n\r\n" % (n, n, n, n)
-        ),
-    )
+    return await flood(rig, seconds, lambda n: named_request(n, b"read"))
 
 
 @kind
